--- a/state/schedule/admit.go
+++ b/state/schedule/admit.go
@@ -10,44 +10,44 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// admit books a choice and returns the grant.
+// admit reserves the chosen engines and returns the grant.
 func (g *Group) admit(t int64, w *waiter, c Choice) Grant {
 	a := w.ask
 	gr := &grant{
-		ask:       a,
-		asked:     w.asked,
-		prefill:   c.Prefill,
-		decode:    c.Decode,
-		prefillNS: c.PrefillNS,
-		granted:   t,
-		prefilled: c.Reuse,
-		decodeAt:  t,
-		reuse:     c.Reuse,
-		kvTokens:  a.PromptTokens + a.OutputTokens,
-		mode:      c.Mode,
+		ask:             a,
+		askedAt:         w.askedAt,
+		prefill:         c.Prefill,
+		decode:          c.Decode,
+		prefillNS:       c.PrefillNS,
+		grantedAt:       t,
+		prefilled:       c.Reuse,
+		decodeStartedAt: t,
+		reuse:           c.Reuse,
+		kvTokens:        a.PromptTokens + a.OutputTokens,
+		mode:            c.Mode,
 	}
 	g.grants[a.ID] = gr
 	if c.Prefill != none && !c.Reuse {
 		g.queuePrefill(t, gr, c.Prefill)
 	}
 	if c.Decode != none {
-		g.take(gr)
-		g.bookLocal(t, gr)
-		g.bookLink(t, gr)
+		g.reserveDecode(gr)
+		g.reserveLocalPrefill(t, gr)
+		g.reserveLink(t, gr)
 	} else {
-		g.open = append(g.open, a.ID)
+		g.awaitingDecode = append(g.awaitingDecode, a.ID)
 	}
-	g.useZones(t, gr)
-	g.takePace(t, gr)
-	g.trial(gr)
-	g.remember(a, gr)
+	g.recordZoneUse(t, gr)
+	g.countPaced(t, gr)
+	g.startTrials(gr)
+	g.recordPrefixes(a, gr)
 	g.accounts.charge(a.Account, float64(c.PrefillNS)/float64(g.accountWeight(a.Account)), t)
 	gr.firstToken = time.Duration(c.FirstTokenNS)
-	gr.move = g.moveTime(t, gr)
+	gr.transfer = g.transferTime(t, gr)
 	return g.grantOf(t, gr)
 }
 
-// grantOf is the decision that a grant stands for.
+// grantOf returns the decision for a recorded grant.
 func (g *Group) grantOf(t int64, gr *grant) Grant {
 	plan := lifecycle.Plan{Mode: gr.mode, Reuse: gr.reuse}
 	if gr.prefill != none {
@@ -60,48 +60,48 @@
 		Ask:          gr.ask,
 		Plan:         plan,
 		FirstToken:   gr.firstToken,
-		Move:         gr.move,
+		Move:         gr.transfer,
 		PacedPrefill: gr.pacedPrefill,
 		PacedDecode:  gr.pacedDecode,
 		Limits:       g.limitsFor(t, gr),
-		Held:         time.Duration(gr.granted - gr.asked),
+		Held:         time.Duration(gr.grantedAt - gr.askedAt),
 	}
 }
 
-// Adopt books a grant of an earlier home. Engines that are not in the group
-// any more are left out.
+// Adopt records a grant of an earlier home. Engines that are no longer in the group are left
+// out.
 func (g *Group) Adopt(now time.Time, a Adopted) {
 	if _, known := g.grants[a.Ask.ID]; known {
 		return
 	}
 	t := sinceStart(g.start, now)
-	g.begin(t)
+	g.noteFirstRequest(t)
 	gr := &grant{
-		ask:       a.Ask,
-		prefill:   g.indexOf(a.Plan.Prefill),
-		decode:    g.indexOf(a.Plan.Decode),
-		prefilled: a.Prefilled,
-		decodeAt:  t,
-		granted:   t,
-		kvTokens:  a.Ask.PromptTokens + a.Ask.OutputTokens,
-		mode:      a.Plan.Mode,
-		reuse:     a.Plan.Reuse,
+		ask:             a.Ask,
+		prefill:         g.indexOf(a.Plan.Prefill),
+		decode:          g.indexOf(a.Plan.Decode),
+		prefilled:       a.Prefilled,
+		decodeStartedAt: t,
+		grantedAt:       t,
+		kvTokens:        a.Ask.PromptTokens + a.Ask.OutputTokens,
+		mode:            a.Plan.Mode,
+		reuse:           a.Plan.Reuse,
 	}
 	g.grants[a.Ask.ID] = gr
-	g.accounts.active[a.Ask.Account]++
+	g.accounts.inFlight[a.Ask.Account]++
 	if gr.prefill != none && !gr.prefilled {
 		gr.prefillNS = int64(g.view.Engines[gr.prefill].prefillNS(Need{PromptTokens: a.Ask.PromptTokens}))
 		g.queuePrefill(t, gr, gr.prefill)
 	}
 	if gr.decode == none {
-		g.open = append(g.open, a.Ask.ID)
+		g.awaitingDecode = append(g.awaitingDecode, a.Ask.ID)
 		return
 	}
-	g.take(gr)
-	// What the engine reported as held for somebody unknown is this.
+	g.reserveDecode(gr)
+	// The engine's load reports counted this grant as unknown until now.
 	e := &g.engines[gr.decode]
-	for i := range e.unknown {
-		e.unknown[i] = max(e.unknown[i]-1, 0)
+	for i := range e.unknownHeld {
+		e.unknownHeld[i] = max(e.unknownHeld[i]-1, 0)
 	}
 	g.refresh(gr.decode)
 }
@@ -127,8 +127,8 @@
 	v.FreeAt = max(v.FreeAt, t) + gr.prefillNS
 }
 
-// bookLocal marks a decode engine as busy with a prefill of its own.
-func (g *Group) bookLocal(t int64, gr *grant) {
+// reserveLocalPrefill accounts for a prefill that runs on the decode engine itself.
+func (g *Group) reserveLocalPrefill(t int64, gr *grant) {
 	if gr.mode == lifecycle.Recompute {
 		v := &g.view.Engines[gr.decode]
 		v.FreeAt = max(v.FreeAt, t) + gr.prefillNS
@@ -137,9 +137,9 @@
 	}
 }
 
-// moveTime is the expected time of a grant's transfer, with the transfers
-// that the link was booked for before it. It is asked after bookLink.
-func (g *Group) moveTime(t int64, gr *grant) time.Duration {
+// transferTime returns the expected time of a grant's transfer, including the transfers that
+// wait for the same link. It must be called after reserveLink.
+func (g *Group) transferTime(t int64, gr *grant) time.Duration {
 	if gr.prefill == none || gr.decode == none || gr.prefill == gr.decode {
 		return 0
 	}
@@ -147,26 +147,27 @@
 	return time.Duration(max(g.view.LinkFreeAt[link]-t, 0))
 }
 
-// bookLink marks the link as busy with the move.
-func (g *Group) bookLink(t int64, gr *grant) {
+// reserveLink marks the link as busy for the grant's transfer.
+func (g *Group) reserveLink(t int64, gr *grant) {
 	if gr.prefill == none || gr.decode == none || gr.prefill == gr.decode {
 		return
 	}
 	link := g.view.Engines[gr.prefill].Zone*g.view.Zones + g.view.Engines[gr.decode].Zone
-	begin := max(g.view.LinkFreeAt[link], t)
-	g.view.LinkFreeAt[link] = begin + int64(g.view.LinkNS[link]*float64(gr.ask.PromptTokens))
+	start := max(g.view.LinkFreeAt[link], t)
+	g.view.LinkFreeAt[link] = start + int64(g.view.LinkNS[link]*float64(gr.ask.PromptTokens))
 }
 
-func (g *Group) take(gr *grant) {
+func (g *Group) reserveDecode(gr *grant) {
 	v := &g.view.Engines[gr.decode]
 	v.Held++
 	v.KVFree -= gr.kvTokens
-	g.engines[gr.decode].memory.drop()
+	g.engines[gr.decode].memory.invalidate()
 }
 
-// trial lets only one request test an engine that came back.
-func (g *Group) trial(gr *grant) {
-	now := g.start.Add(time.Duration(gr.granted))
+// startTrials marks a trial on each of the grant's engines that is back after an ejection, so
+// that only one request at a time tests it.
+func (g *Group) startTrials(gr *grant) {
+	now := g.start.Add(time.Duration(gr.grantedAt))
 	for _, i := range []int{gr.prefill, gr.decode} {
 		if i != none && g.engines[i].breaker.Trial(now) {
 			g.engines[i].breaker = g.engines[i].breaker.WithTrial()
@@ -174,8 +175,8 @@
 	}
 }
 
-// remember notes which engine will have the prompt's prefixes.
-func (g *Group) remember(a Ask, gr *grant) {
+// recordPrefixes records the engine that will have the prompt's prefixes in its cache.
+func (g *Group) recordPrefixes(a Ask, gr *grant) {
 	if gr.prefilled {
 		return
 	}
@@ -186,11 +187,11 @@
 	g.marks.Add(g.engines[i].spec.Name, a.Marks)
 }
 
-// fillOpen gives decode slots to grants whose prefill is done and that wait
-// for one, oldest first.
-func (g *Group) fillOpen(t int64) []Decision {
+// assignDecodeSlots gives decode slots to grants without one whose prefill is done, oldest
+// first.
+func (g *Group) assignDecodeSlots(t int64) []Decision {
 	var out []Decision
-	g.open = slices.DeleteFunc(g.open, func(id lifecycle.AttemptID) bool {
+	g.awaitingDecode = slices.DeleteFunc(g.awaitingDecode, func(id lifecycle.AttemptID) bool {
 		gr := g.grants[id]
 		if gr == nil {
 			return true
@@ -198,16 +199,16 @@
 		if !gr.prefilled {
 			return false
 		}
-		d := g.freestDecode(t, gr)
+		d := g.leastUtilizedDecode(t, gr)
 		if d == none {
 			return false
 		}
 		gr.decode = d
-		g.take(gr)
-		g.takeDecodePace(t, gr)
-		g.bookLink(t, gr)
+		g.reserveDecode(gr)
+		g.countPacedDecode(t, gr)
+		g.reserveLink(t, gr)
 		out = append(out, Slot{
-			Ask: gr.ask, Decode: g.engines[d].spec.Name, Move: g.moveTime(t, gr),
+			Ask: gr.ask, Decode: g.engines[d].spec.Name, Move: g.transferTime(t, gr),
 			Paced: gr.pacedDecode, Limits: g.limitsFor(t, gr),
 		})
 		return true
@@ -215,18 +216,18 @@
 	return out
 }
 
-func (g *Group) freestDecode(t int64, gr *grant) int {
-	g.setOut(t, gr.ask)
+func (g *Group) leastUtilizedDecode(t int64, gr *grant) int {
+	g.updateAvailability(t, gr.ask)
 	if g.cfg.Growing {
 		g.forecastMemory(t, gr.ask)
 	}
 	chosen, lowest := none, 0.0
 	for i := range g.view.Engines {
 		v := &g.view.Engines[i]
-		if !v.Decode || v.Held >= v.Cap || v.KVFree < gr.kvTokens {
+		if !v.Decode || v.Held >= v.MaxHeld || v.KVFree < gr.kvTokens {
 			continue
 		}
-		score := v.fill()
+		score := v.utilization()
 		if gr.prefill != none && v.Zone != g.view.Engines[gr.prefill].Zone {
 			score++
 		}
--- a/state/schedule/baseline.go
+++ b/state/schedule/baseline.go
@@ -9,13 +9,13 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// baseline grants at once, as a router without joint decisions would: the
-// engines' own queues take what does not fit.
-func (g *Group) baseline(now time.Time, a Ask) []Decision {
+// grantBaseline grants at once, as a router without joint decisions would: requests that do not
+// fit wait in the engines' own queues.
+func (g *Group) grantBaseline(now time.Time, a Ask) []Decision {
 	t := sinceStart(g.start, now)
-	g.setOut(t, a)
-	p := g.pick(func(v *EngineView) bool { return v.Prefill }, func(v *EngineView) int { return v.Queued })
-	d := g.pick(func(v *EngineView) bool { return v.Decode }, func(v *EngineView) int { return v.Held })
+	g.updateAvailability(t, a)
+	p := g.pickBaseline(func(v *EngineView) bool { return v.Prefill }, func(v *EngineView) int { return v.Queued })
+	d := g.pickBaseline(func(v *EngineView) bool { return v.Decode }, func(v *EngineView) int { return v.Held })
 	if d == none {
 		return []Decision{Refuse{Ask: a, Reason: lifecycle.ReasonNoEngine, RetryAfter: time.Second}}
 	}
@@ -23,12 +23,12 @@
 	if p == none {
 		c.Mode = lifecycle.Recompute
 	}
-	return []Decision{g.admit(t, &waiter{ask: a, asked: t}, c)}
+	return []Decision{g.admit(t, &waiter{ask: a, askedAt: t}, c)}
 }
 
-// pick takes the next engine in turn, or the one with the least outstanding,
-// the next in turn where several have as few.
-func (g *Group) pick(fits func(*EngineView) bool, outstanding func(*EngineView) int) int {
+// pickBaseline returns the next engine in round-robin order, or the one with the fewest
+// outstanding requests, using round-robin order among equals.
+func (g *Group) pickBaseline(fits func(*EngineView) bool, outstanding func(*EngineView) int) int {
 	var able []int
 	for i := range g.view.Engines {
 		if fits(&g.view.Engines[i]) {
@@ -38,8 +38,8 @@
 	if len(able) == 0 {
 		return none
 	}
-	first := g.turn / rolesPerAsk % len(able)
-	g.turn++
+	first := g.nextTurn / rolesPerAsk % len(able)
+	g.nextTurn++
 	chosen := able[first]
 	if g.cfg.Policy.Name == PolicyRoundRobin {
 		return chosen
@@ -53,5 +53,5 @@
 	return chosen
 }
 
-// rolesPerAsk is how often pick is called for one ask.
+// rolesPerAsk is how often pickBaseline is called for one ask.
 const rolesPerAsk = 2
--- a/state/schedule/configure.go
+++ b/state/schedule/configure.go
@@ -10,13 +10,13 @@
 	"runridge.example/runridge/state/estimate"
 )
 
-// Configure takes over a new configuration and keeps what was learned and
-// granted for engines that stay. Those that wait for engines which all leave are
-// refused, so that they go elsewhere at once.
+// Configure applies a new configuration and keeps the grants and what was learned for engines
+// that remain. Waiting requests are refused if all their engines leave, so that they can be
+// sent to another group at once.
 func (g *Group) Configure(now time.Time, cfg Config) []Decision {
 	old, oldIndex := g.engines, g.index
 	g.cfg = cfg.withDefaults()
-	g.adopt(cfg.Engines)
+	g.setEngines(cfg.Engines)
 	for name, i := range oldIndex {
 		if j, ok := g.index[name]; ok {
 			spec := g.engines[j].spec
@@ -26,20 +26,20 @@
 				g.engines[j].changingUntil = 0
 			}
 			g.engines[j].prefills = nil
-			g.engines[j].memory.drop()
+			g.engines[j].memory.invalidate()
 		}
 	}
-	g.recount(old)
-	return append(g.refuseStranded(sinceStart(g.start, now)), g.pump(now)...)
+	g.rebuildReservations(old)
+	return append(g.refuseWithoutEngine(sinceStart(g.start, now)), g.startWaiting(now)...)
 }
 
-// recount books the grants again on the engines as they are now.
-func (g *Group) recount(old []engine) {
+// rebuildReservations reserves the grants again on the new set of engines.
+func (g *Group) rebuildReservations(old []engine) {
 	for id, gr := range g.grants {
 		gr.prefill = g.reindex(old, gr.prefill)
 		gr.decode = g.reindex(old, gr.decode)
 		if gr.decode != none {
-			g.take(gr)
+			g.reserveDecode(gr)
 		}
 		if gr.prefill != none && !gr.prefilled {
 			e := &g.engines[gr.prefill]
@@ -47,7 +47,7 @@
 			g.view.Engines[gr.prefill].Queued++
 		}
 	}
-	for _, gr := range g.lost {
+	for _, gr := range g.unconfirmed {
 		gr.decode = g.reindex(old, gr.decode)
 	}
 	for i := range g.engines {
@@ -65,27 +65,27 @@
 	return none
 }
 
-// adopt builds the view of a set of engines.
-func (g *Group) adopt(specs []EngineSpec) {
+// setEngines replaces the engines and builds a new view of them.
+func (g *Group) setEngines(specs []EngineSpec) {
 	g.engines = make([]engine, len(specs))
 	g.index = make(map[string]int, len(specs))
 	g.zones = zonesOf(specs)
 	n := len(g.zones)
 	g.links = make([]estimate.Factor, n*n)
-	g.zoneUse = make([]usage, n)
+	g.zoneUse = make([]decayedSum, n)
 	g.view = View{
-		Engines:      make([]EngineView, len(specs)),
-		Zones:        n,
-		LinkFreeAt:   make([]int64, n*n),
-		LinkNS:       make([]float64, n*n),
-		ZoneNS:       make([]float64, n),
-		LeadNS:       int64(lead),
-		StepTargetNS: float64(g.cfg.Targets.PerToken),
-		Joint:        !g.cfg.Policy.NoJoint,
-		Recompute:    !g.cfg.Policy.NoRecompute,
+		Engines:             make([]EngineView, len(specs)),
+		Zones:               n,
+		LinkFreeAt:          make([]int64, n*n),
+		LinkNS:              make([]float64, n*n),
+		ZoneNS:              make([]float64, n),
+		MaxPrefillBacklogNS: int64(maxPrefillBacklog),
+		StepTargetNS:        float64(g.cfg.Targets.PerToken),
+		Joint:               !g.cfg.Policy.NoJoint,
+		Recompute:           !g.cfg.Policy.NoRecompute,
 	}
 	for i, s := range specs {
-		g.engines[i] = engine{spec: s, paced: g.cfg.Paced[s.Name]}
+		g.engines[i] = engine{spec: s, pacedWindow: g.cfg.Paced[s.Name]}
 		g.index[s.Name] = i
 		g.view.Engines[i] = EngineView{
 			Zone:     slices.Index(g.zones, s.Zone),
@@ -95,7 +95,7 @@
 		g.refresh(i)
 	}
 	g.refreshLinks()
-	g.shareZones()
+	g.updateZoneShares()
 }
 
 // zonesOf lists the zones of the engines, at most maxZones.
@@ -109,29 +109,29 @@
 	return zones
 }
 
-// refresh works out an engine's learned view.
+// refresh updates an engine's view from its spec and what was learned.
 func (g *Group) refresh(i int) {
 	e, v := &g.engines[i], &g.view.Engines[i]
-	v.PrefillNS = e.prefill.Value() * float64(time.Second) / max(e.spec.PrefillRate, 1)
-	v.StepBaseNS = e.step.Value() * float64(e.spec.StepBase)
-	v.StepPerNS = e.step.Value() * float64(e.spec.StepPer)
-	v.Cap = g.batchCap(i) - slices.Min(e.unknown[:])
-	if g.cfg.Cautious && e.reports == 0 {
-		v.Cap /= 2
+	v.PrefillNS = e.prefillFactor.Value() * float64(time.Second) / max(e.spec.PrefillRate, 1)
+	v.StepBaseNS = e.stepFactor.Value() * float64(e.spec.StepBase)
+	v.StepPerNS = e.stepFactor.Value() * float64(e.spec.StepPer)
+	v.MaxHeld = g.batchCap(i) - slices.Min(e.unknownHeld[:])
+	if g.cfg.Cautious && e.reportCount == 0 {
+		v.MaxHeld /= 2
 	}
 	v.Prefill = e.spec.Prefill && !e.spec.Leaving
 	v.Decode = e.spec.Decode && !e.spec.Leaving
 }
 
-// batchCap is the largest batch that keeps the per-token target.
+// batchCap returns the largest batch that keeps the per-token target.
 func (g *Group) batchCap(i int) int {
 	e, v := &g.engines[i], &g.view.Engines[i]
-	target := float64(g.cfg.Targets.PerToken) * stepMargin
+	target := float64(g.cfg.Targets.PerToken) * stepTargetShare
 	if target <= 0 || v.StepPerNS <= 0 || g.cfg.Policy.NoBatchTarget {
 		return e.spec.Slots
 	}
-	fits := int((target - v.StepBaseNS) / v.StepPerNS)
-	return min(max(fits, 1), e.spec.Slots)
+	maxBatch := int((target - v.StepBaseNS) / v.StepPerNS)
+	return min(max(maxBatch, 1), e.spec.Slots)
 }
 
 func (g *Group) refreshLinks() {
--- a/state/schedule/forecast_test.go
+++ b/state/schedule/forecast_test.go
@@ -16,66 +16,66 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// drawnLengths are the answers' lengths of one play of some loads, drawn anew
+// drawOutputLengths are the answers' lengths of one play of some loads, drawn anew
 // until each is longer than what there is of it.
-func drawnLengths(random *rand.Rand, loads []load, spread float64) []float64 {
+func drawOutputLengths(random *rand.Rand, loads []requestMemory, spread float64) []float64 {
 	out := make([]float64, len(loads))
 	for i, l := range loads {
-		for out[i] <= float64(l.made) {
-			out[i] = float64(l.guess) * math.Exp(spread*random.NormFloat64())
+		for out[i] <= float64(l.generated) {
+			out[i] = float64(l.expectedOutput) * math.Exp(spread*random.NormFloat64())
 		}
 	}
 	return out
 }
 
-// heldAfter is the memory that the loads take some steps on, by their lengths.
-func heldAfter(loads []load, lengths []float64, steps float64) float64 {
+// simulatedMemory is the memory that the loads take some steps on, by their lengths.
+func simulatedMemory(loads []requestMemory, lengths []float64, steps float64) float64 {
 	held := 0.0
 	for i, l := range loads {
-		if lengths[i] > float64(l.made)+steps {
-			held += float64(l.held) + steps
+		if lengths[i] > float64(l.generated)+steps {
+			held += float64(l.heldTokens) + steps
 		}
 	}
 	return held
 }
 
-func drawLoads(t *rapid.T, most int) []load {
-	var out []load
+func drawMemory(t *rapid.T, most int) []requestMemory {
+	var out []requestMemory
 	for range rapid.IntRange(1, most).Draw(t, "loads") {
 		guess := rapid.IntRange(50, 2000).Draw(t, "guess")
 		made := rapid.IntRange(0, guess*3/2).Draw(t, "made")
-		out = append(out, load{held: rapid.IntRange(100, 6000).Draw(t, "prompt") + made, guess: guess, made: made})
+		out = append(out, requestMemory{heldTokens: rapid.IntRange(100, 6000).Draw(t, "prompt") + made, expectedOutput: guess, generated: made})
 	}
 	return out
 }
 
-// plays is the number of plays of one drawn set of loads; the tolerances below
+// simulations is the number of plays of one drawn set of loads; the tolerances below
 // are several standard errors wide.
-const plays = 2000
+const simulations = 2000
 
 func TestOracleForecast(t *testing.T) {
 	const usual, spread = 700.0, 0.5 // the zero value of estimate.Length has this spread
 	rapid.Check(t, func(t *rapid.T) {
-		loads := drawLoads(t, 8)
+		loads := drawMemory(t, 8)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var f forecast
 		largest := 0.0
 		for _, l := range loads {
 			f = f.with(l, usual, estimate.Length{})
-			largest += float64(l.held) + usual
+			largest += float64(l.heldTokens) + usual
 		}
-		sums, squares := [horizons]float64{}, [horizons]float64{}
-		for range plays {
-			lengths := drawnLengths(random, loads, spread)
-			for k := range ahead {
-				held := heldAfter(loads, lengths, ahead[k]*usual)
+		sums, squares := [forecastPoints]float64{}, [forecastPoints]float64{}
+		for range simulations {
+			lengths := drawOutputLengths(random, loads, spread)
+			for k := range forecastFractions {
+				held := simulatedMemory(loads, lengths, forecastFractions[k]*usual)
 				sums[k] += held
 				squares[k] += held * held
 			}
 		}
-		for k := range ahead {
-			mean := sums[k] / plays
-			deviation := math.Sqrt(max(squares[k]/plays-mean*mean, 0))
+		for k := range forecastFractions {
+			mean := sums[k] / simulations
+			deviation := math.Sqrt(max(squares[k]/simulations-mean*mean, 0))
 			if math.Abs(mean-f.mean[k]) > 0.05*largest {
 				t.Fatalf("moment %d: mean %.0f, played %.0f", k, f.mean[k], mean)
 			}
@@ -104,10 +104,10 @@
 			for range sets {
 				usual := estimate.Length{}.Expected(c.guess)
 				var f forecast
-				var loads []load
+				var loads []requestMemory
 				for {
 					made := int(random.Float64() * float64(c.guess))
-					l := load{held: c.prompt + made, guess: c.guess, made: made}
+					l := requestMemory{heldTokens: c.prompt + made, expectedOutput: c.guess, generated: made}
 					with := f.with(l, usual, estimate.Length{})
 					if with.peak() > float64(c.memory) {
 						break
@@ -116,9 +116,9 @@
 					loads = append(loads, l)
 				}
 				fills += f.mean[0] / float64(c.memory)
-				lengths := drawnLengths(random, loads, spread)
+				lengths := drawOutputLengths(random, loads, spread)
 				for steps := 0.0; steps <= usual; steps += usual / 100 {
-					if heldAfter(loads, lengths, steps) > float64(c.memory) {
+					if simulatedMemory(loads, lengths, steps) > float64(c.memory) {
 						overflows++
 						break
 					}
@@ -140,11 +140,11 @@
 	full := func(requests int) forecast {
 		var f forecast
 		for i := range requests {
-			f = f.with(load{held: 3200 + 60*i, guess: 640, made: 60 * i}, usual, estimate.Length{})
+			f = f.with(requestMemory{heldTokens: 3200 + 60*i, expectedOutput: 640, generated: 60 * i}, usual, estimate.Length{})
 		}
 		return f
 	}
-	further := forecast{}.with(load{held: 3200, guess: 640}, usual, estimate.Length{})
+	further := forecast{}.with(requestMemory{heldTokens: 3200, expectedOutput: 640}, usual, estimate.Length{})
 	cases := map[string]struct {
 		requests int
 		now      bool
@@ -157,7 +157,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := full(c.requests)
-			steps := f.stepsUntilRoom(&further, usual, 41_000)
+			steps := f.stepsUntilFits(&further, usual, 41_000)
 			switch {
 			case c.now && steps != 0, c.never && steps >= 0, !c.now && !c.never && (steps <= 0 || steps > usual):
 				t.Errorf("%.0f steps", steps)
@@ -168,7 +168,7 @@
 
 func TestWaitBeyondTheForecast(t *testing.T) {
 	convey.Convey("A request is not kept waiting for an engine that has no room as far as the forecast reaches", t, func() {
-		g := growing(1, 10_000)
+		g := growingGroup(1, 10_000)
 		// A home before this one granted far more than there is room for.
 		for n := range uint64(30) {
 			g.Adopt(start, Adopted{
--- a/state/schedule/group.go
+++ b/state/schedule/group.go
@@ -17,59 +17,63 @@
 )
 
 const (
-	// lead is how much prefill an engine's own queue may hold beyond what it
-	// works on: about the round trip in which the next order comes.
-	lead = 12 * time.Millisecond
-	// overdue is the guess for a prefill that should have been done already.
-	overdue = 5 * time.Millisecond
-	// tries is how many waiters are tried when the first cannot start.
-	tries = 8
-	// defaultWaiting and defaultMarks are used where the config says 0.
-	defaultWaiting = 512
-	defaultMarks   = 8192
-	// stepMargin keeps the batch a little under the per-token target.
-	stepMargin = 0.94
-	// idleSlack is how much longer than on an idle system a prompt may take
-	// that misses the target even there.
-	idleSlack = 1.25
+	// maxPrefillBacklog is how much prefill time an engine's own queue may hold: about the
+	// round trip in which the next grant arrives.
+	maxPrefillBacklog = 12 * time.Millisecond
+	// overduePrefillRemaining is the estimate of the remaining time of a prefill that is
+	// overdue.
+	overduePrefillRemaining = 5 * time.Millisecond
+	// maxPlacementTries is how many waiters are tried if the first ones cannot start.
+	maxPlacementTries = 8
+	// defaultMaxWaiting and defaultPrefixMarks replace zero values in the config.
+	defaultMaxWaiting  = 512
+	defaultPrefixMarks = 8192
+	// stepTargetShare is the share of the per-token target that a batch may use.
+	stepTargetShare = 0.94
+	// idleLatencyFactor sets the minimum deadline, as a multiple of the time on an idle group,
+	// so that prompts which miss the target even there are still served.
+	idleLatencyFactor = 1.25
 )
 
-// engine is what the group keeps of one engine beside its view.
+// engine is the group's state of one engine, in addition to its EngineView.
 type engine struct {
-	// changingUntil is until when the engine gets nothing since it changes its stage.
+	// changingUntil is the time until which the engine gets no requests because it changes its
+	// stage.
 	changingUntil int64
 	spec          EngineSpec
 	breaker       health.Breaker
-	// results is the health of its prefill results: an engine may read prompts
-	// well and not keep what it has read.
-	results health.Breaker
-	// prefills are the grants whose prefill is not done, in order.
-	prefills []lifecycle.AttemptID
-	prefill  estimate.Factor
-	step     estimate.Factor
-	// unknown is the smallest number of holds in recent load reports that
-	// this group knows nothing of.
-	unknown [unknownReports]int
-	reports int
-	// fullUntil is until when the engine gets nothing, having turned a request
-	// away; unaccounted is the memory that it must hold for others, seen at unaccountedSince.
-	fullUntil        int64
-	unaccounted      int
-	unaccountedSince int64
-	// memory is the forecast of the engine's memory.
+	// resultBreaker tracks the health of the engine's prefill results: an engine may compute
+	// prompts well and still lose the results.
+	resultBreaker health.Breaker
+	// prefills are the granted prefills that are not done yet, in order.
+	prefills      []lifecycle.AttemptID
+	prefillFactor estimate.Factor
+	stepFactor    estimate.Factor
+	// unknownHeld has, for each of the latest load reports, the number of requests held on the
+	// engine that this group did not grant.
+	unknownHeld [unknownReports]int
+	reportCount int
+	// fullUntil is the time until which the engine gets no requests after it rejected one as
+	// full. unaccountedTokens is the memory that it must be holding for others, as of
+	// unaccountedSince.
+	fullUntil         int64
+	unaccountedTokens int
+	unaccountedSince  int64
+	// memory is the forecast of the engine's memory use.
 	memory cachedForecast
-	// cold says that the engine is cold, warm is what was learnt of it before, and
-	// paced what it was granted lately while cold.
-	cold  bool
-	warm  speed
-	paced pace.Window
-	limit limited
-	// leavingUntil is until when the engine counts as leaving by what it told boxes.
+	// warmSpeed is what was learned of the engine before it became cold, and pacedWindow has
+	// the recent grants to it as a cold engine.
+	cold        bool
+	warmSpeed   learnedSpeed
+	pacedWindow pace.Window
+	limit       engineLimitState
+	// leavingUntil is the time until which the engine counts as leaving because boxes reported
+	// it.
 	leavingUntil int64
 }
 
-// unknownReports is how many reports must agree before the group believes
-// that an engine holds something it did not grant.
+// unknownReports is how many load reports must agree before the group assumes that an engine
+// holds requests that it did not grant.
 const unknownReports = 3
 
 // grant is an admitted attempt.
@@ -77,23 +81,23 @@
 	ask     Ask
 	prefill int
 	decode  int
-	// prefillNS is the expected time of the prefill.
+	// prefillNS is the estimated time of the prefill.
 	prefillNS int64
 	// prefilled is true when the prefill is done.
 	prefilled bool
-	// decodeAt is when the decode began, as far as is known.
-	decodeAt int64
-	granted  int64
-	kvTokens int
-	mode     lifecycle.Mode
-	reuse    bool
-	// asked is when the ask came; held is the time from then to the grant.
-	asked int64
-	// paced says what was counted for cold engines and those with a limit, and openDecode
-	// that the decode is still to be sent to a cold one.
-	pacedPrefill, pacedDecode, openDecode bool
-	// firstToken and move are the estimates given with the grant.
-	firstToken, move time.Duration
+	// decodeStartedAt is the estimated start of the decode.
+	decodeStartedAt int64
+	grantedAt       int64
+	kvTokens        int
+	mode            lifecycle.Mode
+	reuse           bool
+	// askedAt is when the ask arrived.
+	askedAt int64
+	// pacedPrefill and pacedDecode report that the grant counts against the limit of its
+	// engines. decodeUnsent is true while the decode still has to be sent to a cold engine.
+	pacedPrefill, pacedDecode, decodeUnsent bool
+	// firstToken and transfer are the estimates that were returned with the grant.
+	firstToken, transfer time.Duration
 }
 
 // Group schedules one group of engines.
@@ -106,59 +110,60 @@
 	view    View
 	waiting []*waiter
 	grants  map[lifecycle.AttemptID]*grant
-	// usual is the mean ask, and lengths how long answers become.
-	usual   usualLoad
+	// meanAsk is the mean of recent asks, and lengths learns the length of answers.
+	meanAsk meanLoad
 	lengths estimate.Length
-	// ejections are the engines taken out that nobody was told of yet.
+	// ejections are those not yet returned by Ejections.
 	ejections []Ejection
-	// lost are grants that are over here and may run on at their engine.
-	lost     []*grant
-	accounts accounts
-	marks    *prefix.Index
-	random   *rand.Rand
-	budget   health.Budget
-	// open are grants whose decode slot is still to come, oldest first.
-	open []lifecycle.AttemptID
-	// links learns each zone pair's real transfer time.
+	// unconfirmed are finished grants that may still be running on their engine.
+	unconfirmed []*grant
+	accounts    accounts
+	marks       *prefix.Index
+	random      *rand.Rand
+	budget      health.Budget
+	// awaitingDecode are grants without a decode engine, oldest first.
+	awaitingDecode []lifecycle.AttemptID
+	// links learns the real transfer time between each pair of zones.
 	links []estimate.Factor
-	// zoneShare is each zone's share by weight.
+	// zoneShare is the share of each zone according to its weight.
 	zoneShare []float64
-	// zoneUse is the work that each zone was granted, decayed.
-	zoneUse []usage
-	// asks counts first asks, decayed slowly; nextReturn is when the next refused
-	// caller is told to come again.
-	asks usage
-	// recentAsks counts the same, decayed as fast as releases.
-	recentAsks usage
-	nextReturn int64
+	// zoneUse is the decayed number of grants in each zone.
+	zoneUse []decayedSum
+	// usualAsks counts new requests, decayed slowly. nextRetryAt is the retry time given to the
+	// latest refused caller.
+	usualAsks decayedSum
+	// recentAsks counts new requests, decayed as fast as releases.
+	recentAsks  decayedSum
+	nextRetryAt int64
 	// serviceNS is the mean time for which a plain request holds its slot.
 	serviceNS float64
-	// releases counts decode slots that came free, decayed.
-	releases usage
-	turn     int
-	// begun is when the group was told of its first request, if it was asked.
-	begun int64
-	asked bool
-	// errors is the part of the answers lately that were endpoints' own errors, 0 to 1.
-	errors float64
-	// work is the prompt work that was asked for.
-	work stages.Work
-	// coldLimit is what a cold engine may be granted, as of coldLimitAt.
+	// releases counts released decode slots, decayed.
+	releases decayedSum
+	nextTurn int
+	// firstRequestAt is the time of the group's first request; valid if hadRequest is true.
+	firstRequestAt int64
+	hadRequest     bool
+	// errorRatio is the recent share of answers that were errors of the endpoints themselves, 0
+	// to 1.
+	errorRatio float64
+	// promptWork is the prefill work of recent new requests.
+	promptWork stages.Work
+	// coldLimit caches the grant limit of cold engines, as of coldLimitAt.
 	coldLimit   int
 	coldLimitAt int64
-	// coldChanges are engines that became cold or warm and nobody was told of yet.
+	// coldChanges are those not yet returned by ColdChanges.
 	coldChanges []ColdChange
-	// stranded says that engines have begun to leave since it was last looked whether
-	// those that wait have any left.
-	stranded bool
+	// leavingChanged is true if engines have started to leave since the queue was last checked
+	// for requests without an engine.
+	leavingChanged bool
 }
 
 func (c Config) withDefaults() Config {
 	if c.MaxWaiting <= 0 {
-		c.MaxWaiting = defaultWaiting
+		c.MaxWaiting = defaultMaxWaiting
 	}
 	if c.PrefixMarks <= 0 {
-		c.PrefixMarks = defaultMarks
+		c.PrefixMarks = defaultPrefixMarks
 	}
 	if c.Health == (health.Config{}) {
 		c.Health = health.DefaultConfig()
@@ -166,7 +171,7 @@
 	return c
 }
 
-// New makes a group. Start is the time that its clock counts from.
+// New returns a group of the configured engines. All internal times count from start.
 func New(cfg Config, start time.Time) *Group {
 	cfg = cfg.withDefaults()
 	g := &Group{
@@ -178,20 +183,20 @@
 		random:   rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 		budget:   health.NewBudget(),
 	}
-	g.adopt(cfg.Engines)
+	g.setEngines(cfg.Engines)
 	return g
 }
 
-// Ask takes a request in and returns every decision that follows, for this
-// ask or for others.
+// Ask handles a request for a plan and returns all decisions that follow, for this request and
+// for others.
 func (g *Group) Ask(now time.Time, a Ask) []Decision {
 	if gr, twice := g.grants[a.ID]; twice {
-		// The answer was lost; it stands as it was.
+		// The first answer was lost; the grant is unchanged.
 		return []Decision{g.grantOf(sinceStart(g.start, now), gr)}
 	}
 	t := sinceStart(g.start, now)
 	g.noteLeaving(t, a.Leaving)
-	if w := g.waits(a.ID); w != nil {
+	if w := g.findWaiter(a.ID); w != nil {
 		w.ask.Barred = a.Barred
 		return []Decision{Queued{Ask: a}}
 	}
@@ -202,46 +207,46 @@
 		g.budget = g.budget.WithRequest()
 	}
 	if g.cfg.Policy.Baseline() {
-		return g.baseline(now, a)
+		return g.grantBaseline(now, a)
 	}
-	g.begin(t)
+	g.noteFirstRequest(t)
 	if !a.Resume && !a.Spill && !a.Late {
-		g.asks = g.asks.plus(t, 1, asksHalfLife)
+		g.usualAsks = g.usualAsks.plus(t, 1, asksHalfLife)
 		g.recentAsks = g.recentAsks.plus(t, 1, releaseHalfLife)
 	}
-	g.usual = g.usual.with(a)
-	g.noteWork(a, t)
-	w := g.waiter(a, t)
+	g.meanAsk = g.meanAsk.with(a)
+	g.addPromptWork(a, t)
+	w := g.newWaiter(a, t)
 	if refusal, refused := g.refuseEarly(w, t); refused {
 		return []Decision{refusal}
 	}
 	g.waiting = append(g.waiting, w)
-	out := g.pump(now)
+	out := g.startWaiting(now)
 	i := slices.Index(g.waiting, w)
 	switch {
 	case i < 0:
 	case a.Spill:
 		g.remove(i)
-		out = append(out, Refuse{Ask: a, Reason: lifecycle.ReasonHopeless, RetryAfter: retryFloor, Seen: g.inputs(w, t, 0)})
+		out = append(out, Refuse{Ask: a, Reason: lifecycle.ReasonHopeless, RetryAfter: minRetryAfter, Seen: g.inputs(w, t, 0)})
 	default:
 		out = append(out, Queued{Ask: a})
 	}
 	return out
 }
 
-// Old lists the attempts that were granted at least so long ago, by box.
+// Old lists the attempts that were granted at least age ago, by box.
 func (g *Group) Old(now time.Time, age time.Duration) map[string][]lifecycle.AttemptID {
 	t := sinceStart(g.start, now)
 	out := make(map[string][]lifecycle.AttemptID)
 	for id, gr := range g.grants {
-		if t-gr.granted >= int64(age) {
+		if t-gr.grantedAt >= int64(age) {
 			out[gr.ask.Box] = append(out[gr.ask.Box], id)
 		}
 	}
 	return out
 }
 
-// Waiters lists the asks in the queue.
+// Waiters lists the requests in the queue.
 func (g *Group) Waiters() []Ask {
 	out := make([]Ask, 0, len(g.waiting))
 	for _, w := range g.waiting {
@@ -250,24 +255,24 @@
 	return out
 }
 
-// Withdraw takes a waiting or granted ask back; the caller has gone.
+// Withdraw removes a waiting or granted request whose caller has disconnected.
 func (g *Group) Withdraw(now time.Time, id lifecycle.AttemptID) []Decision {
 	i := slices.IndexFunc(g.waiting, func(w *waiter) bool { return w.ask.ID == id })
 	if i >= 0 {
 		g.remove(i)
 		return nil
 	}
-	g.abandon(id)
+	g.keepPacedDecode(id)
 	return g.Done(now, Report{ID: id})
 }
 
-// DropBox forgets all that a box asked for; the box is gone.
+// DropBox removes all requests of a box that has gone.
 func (g *Group) DropBox(now time.Time, box string) []Decision {
 	return g.drop(now, func(a Ask) bool { return a.Box == box })
 }
 
-// DropBefore forgets what a box asked for before it started anew: the process
-// that could say when it is over is no more.
+// DropBefore removes the requests of earlier incarnations of a box: the process that would
+// report their end no longer exists.
 func (g *Group) DropBefore(now time.Time, box string, start uint64) []Decision {
 	return g.drop(now, func(a Ask) bool { return a.Box == box && a.ID.Request.Incarnation < start })
 }
@@ -282,27 +287,28 @@
 	}
 	var out []Decision
 	for _, id := range over {
-		g.abandon(id)
+		g.keepPacedDecode(id)
 		out = append(out, g.Done(now, Report{ID: id})...)
 	}
 	return out
 }
 
-// Tick drops hopeless waiters and starts what time alone made possible.
+// Tick refuses waiters that can no longer meet their deadline, and starts those that can start
+// now.
 func (g *Group) Tick(now time.Time) []Decision {
-	g.accounts.forget(sinceStart(g.start, now))
-	return g.pump(now)
+	g.accounts.prune(sinceStart(g.start, now))
+	return g.startWaiting(now)
 }
 
-// Plain says whether the group's requests are plain ones.
+// Plain reports whether the group's requests are plain ones.
 func (g *Group) Plain() bool { return g.cfg.Plain }
 
-// Waiting and Granted count what the group holds.
+// Waiting returns the number of requests in the queue.
 func (g *Group) Waiting() int { return len(g.waiting) }
 
-// Pending counts what time alone may decide: the asks in the queue, and the grants that
-// wait for their decode slot.
-func (g *Group) Pending() int { return len(g.waiting) + len(g.open) }
+// Pending returns the number of requests that Tick may decide: those in the queue, and the
+// grants without a decode engine.
+func (g *Group) Pending() int { return len(g.waiting) + len(g.awaitingDecode) }
 
-// Granted is the number of attempts admitted and not over.
+// Granted returns the number of attempts in flight.
 func (g *Group) Granted() int { return len(g.grants) }
--- a/state/schedule/group_test.go
+++ b/state/schedule/group_test.go
@@ -62,11 +62,11 @@
 	for _, d := range decisions {
 		switch d := d.(type) {
 		case Grant:
-			o.close(t, d.Ask.ID)
+			o.resolve(t, d.Ask.ID)
 			plan := d.Plan
 			o.granted[d.Ask.ID] = &plan
 		case Refuse:
-			o.close(t, d.Ask.ID)
+			o.resolve(t, d.Ask.ID)
 			if d.RetryAfter <= 0 {
 				t.Fatalf("refused %v without saying when to come again", d.Ask.ID)
 			}
@@ -84,16 +84,16 @@
 	}
 }
 
-// close notes the one answer that an ask may get.
-func (o *oracle) close(t *rapid.T, id lifecycle.AttemptID) {
+// resolve notes the one answer that an ask may get.
+func (o *oracle) resolve(t *rapid.T, id lifecycle.AttemptID) {
 	if !o.open[id] {
 		t.Fatalf("a decision for %v, which does not wait for one", id)
 	}
 	delete(o.open, id)
 }
 
-// any draws one of the granted attempts.
-func (o *oracle) any(t *rapid.T) (lifecycle.AttemptID, bool) {
+// drawGranted draws one of the granted attempts.
+func (o *oracle) drawGranted(t *rapid.T) (lifecycle.AttemptID, bool) {
 	ids := make([]lifecycle.AttemptID, 0, len(o.granted))
 	for n := 1; n <= o.next; n++ {
 		if id := ask(n, 0).ID; o.granted[id] != nil {
@@ -116,12 +116,12 @@
 		o.open[a.ID] = true
 		o.take(t, o.g.Ask(o.now, a))
 	case 2:
-		if id, ok := o.any(t); ok {
+		if id, ok := o.drawGranted(t); ok {
 			worked := time.Duration(rapid.IntRange(0, 500).Draw(t, "worked")) * time.Millisecond
 			o.take(t, o.g.Prefilled(o.now, id, 1000, worked))
 		}
 	case 3:
-		if id, ok := o.any(t); ok {
+		if id, ok := o.drawGranted(t); ok {
 			delete(o.granted, id)
 			r := Report{ID: id, Finished: rapid.Bool().Draw(t, "finished"), Steps: 20, StepTime: 300 * time.Millisecond}
 			if !r.Finished {
@@ -266,7 +266,7 @@
 		late.Account = "small"
 		g.accounts.charge("small", 1, 0)
 		g.Ask(start.Add(30*time.Millisecond), late)
-		i, _ := g.next(int64(30*time.Millisecond), -1e300)
+		i, _ := g.nextWaiter(int64(30*time.Millisecond), -1e300)
 		convey.So(g.waiting[i].ask.Account, convey.ShouldEqual, "small")
 	})
 }
@@ -312,7 +312,7 @@
 		g := New(config(2, 6), start)
 		for round := range 40 {
 			for i := 2; i < 8; i++ {
-				g.fail(start.Add(time.Duration(round)*time.Millisecond), Report{Failed: fmt.Sprintf("e%d", i)})
+				g.recordFailure(start.Add(time.Duration(round)*time.Millisecond), Report{Failed: fmt.Sprintf("e%d", i)})
 			}
 		}
 		out := 0
@@ -331,16 +331,16 @@
 		Engines: []EngineView{
 			{Zone: 0, Prefill: true, FreeAt: 300 * ms, PrefillNS: 50_000},
 			{Zone: 1, Prefill: true, PrefillNS: 50_000},
-			{Zone: 0, Decode: true, Held: 3, Cap: 8, KVFree: 50_000, StepBaseNS: 8e6, StepPerNS: 1e6},
-			{Zone: 1, Decode: true, Held: 3, Cap: 8, KVFree: 50_000, StepBaseNS: 8e6, StepPerNS: 1e6},
+			{Zone: 0, Decode: true, Held: 3, MaxHeld: 8, KVFree: 50_000, StepBaseNS: 8e6, StepPerNS: 1e6},
+			{Zone: 1, Decode: true, Held: 3, MaxHeld: 8, KVFree: 50_000, StepBaseNS: 8e6, StepPerNS: 1e6},
 		},
-		Zones:        2,
-		LinkFreeAt:   make([]int64, 4),
-		LinkNS:       []float64{10_000, 80_000, 80_000, 10_000},
-		ZoneNS:       make([]float64, 2),
-		LeadNS:       12 * ms,
-		StepTargetNS: 31e6,
-		Joint:        true,
+		Zones:               2,
+		LinkFreeAt:          make([]int64, 4),
+		LinkNS:              []float64{10_000, 80_000, 80_000, 10_000},
+		ZoneNS:              make([]float64, 2),
+		MaxPrefillBacklogNS: 12 * ms,
+		StepTargetNS:        31e6,
+		Joint:               true,
 	}
 	c, ok := Place(&view, 0, Need{PromptTokens: 1000, KVTokens: 1064})
 	fmt.Println(ok, c.Prefill, c.Decode, time.Duration(c.FirstTokenNS))
--- a/state/schedule/late_test.go
+++ b/state/schedule/late_test.go
@@ -35,12 +35,12 @@
 	return ""
 }
 
-// rates sets how many requests in time are asked for, and how many places come
+// setRates sets how many requests in time are asked for, and how many places come
 // free, a second.
-func rates(g *Group, at time.Time, asks, releases float64) {
+func setRates(g *Group, at time.Time, asks, releases float64) {
 	t := sinceStart(g.start, at)
-	perNS := func(rate float64) usage {
-		return usage{at: t}.plus(t, rate*releaseHalfLife/float64(time.Second)/0.693, releaseHalfLife)
+	perNS := func(rate float64) decayedSum {
+		return decayedSum{at: t}.plus(t, rate*releaseHalfLife/float64(time.Second)/0.693, releaseHalfLife)
 	}
 	g.recentAsks, g.releases = perNS(asks), perNS(releases)
 }
@@ -63,10 +63,10 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			g := growing(c.engines, 10_000)
+			g := growingGroup(c.engines, 10_000)
 			admitted(g, c.taken, start)
 			now := start.Add(200 * time.Millisecond)
-			rates(g, now, c.asks, c.releases)
+			setRates(g, now, c.asks, c.releases)
 			a := lateAsk(100)
 			a.GiveUp = c.giveUp
 			if got := kindOf(g.Ask(now, a), a); got != c.want {
@@ -78,14 +78,14 @@
 
 func TestLateBehindOthers(t *testing.T) {
 	convey.Convey("A place that comes free goes to a request in time that came after a late one", t, func() {
-		g := growing(1, 10_000)
+		g := growingGroup(1, 10_000)
 		admitted(g, 4, start)
 		now := start.Add(50 * time.Millisecond)
-		rates(g, now, 1, 50)
+		setRates(g, now, 1, 50)
 		late, urgent := lateAsk(100), askOf(101, 1000, 1000)
 		convey.So(kindOf(g.Ask(now, late), late), convey.ShouldEqual, "queue")
 		// More than are tried for one place.
-		for n := range uint64(2 * tries) {
+		for n := range uint64(2 * maxPlacementTries) {
 			other := lateAsk(200 + n)
 			other.GiveUp += time.Duration(n) * time.Millisecond
 			convey.So(kindOf(g.Ask(now, other), other), convey.ShouldEqual, "queue")
@@ -97,10 +97,10 @@
 		convey.So(kindOf(out, late), convey.ShouldBeEmpty)
 	})
 	convey.Convey("A late request that waits is refused once its caller will have given up", t, func() {
-		g := growing(1, 10_000)
+		g := growingGroup(1, 10_000)
 		admitted(g, 4, start)
 		now := start.Add(50 * time.Millisecond)
-		rates(g, now, 1, 50)
+		setRates(g, now, 1, 50)
 		late := lateAsk(100)
 		late.GiveUp = 2 * time.Second
 		convey.So(kindOf(g.Ask(now, late), late), convey.ShouldEqual, "queue")
@@ -108,11 +108,11 @@
 		convey.So(kindOf(g.Tick(now.Add(2*time.Second)), late), convey.ShouldEqual, "refuse")
 	})
 	convey.Convey("Late requests do not count as asked for in time", t, func() {
-		g := growing(2, 10_000)
+		g := growingGroup(2, 10_000)
 		for i := range uint64(20) {
 			g.Ask(start, lateAsk(i))
 		}
-		convey.So(g.asks.amount, convey.ShouldEqual, 0)
+		convey.So(g.usualAsks.amount, convey.ShouldEqual, 0)
 		convey.So(g.recentAsks.amount, convey.ShouldEqual, 0)
 	})
 }
--- a/state/schedule/learn.go
+++ b/state/schedule/learn.go
@@ -11,9 +11,9 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// Prefilled notes that a prefill is done. Worked is the engine's own time for
-// it and computed the number of tokens that it did not find in its cache; 0
-// for either means that the engine did not say.
+// Prefilled records that a prefill is done. Worked is the engine's own time for it, and
+// computed the number of tokens that were not in its cache; 0 means that the engine did not
+// report it.
 func (g *Group) Prefilled(now time.Time, id lifecycle.AttemptID, computed int, worked time.Duration) []Decision {
 	gr, ok := g.grants[id]
 	if !ok || gr.prefill == none || gr.prefilled {
@@ -21,24 +21,25 @@
 	}
 	t := sinceStart(g.start, now)
 	gr.prefilled = true
-	gr.decodeAt = t
+	gr.decodeStartedAt = t
 	e := &g.engines[gr.prefill]
 	if computed >= minLearnTokens && !g.cfg.Policy.NoLearning {
 		expected := time.Duration(float64(computed) * float64(time.Second) / max(e.spec.PrefillRate, 1))
-		e.prefill = e.prefill.With(expected, worked)
+		e.prefillFactor = e.prefillFactor.With(expected, worked)
 	}
-	g.paceDone(t, gr)
+	g.noteDecodeSent(t, gr)
 	e.breaker = e.breaker.WithSuccess(0)
-	g.unqueue(t, gr.prefill, id)
+	g.dequeuePrefill(t, gr.prefill, id)
 	g.refresh(gr.prefill)
-	return g.pump(now)
+	return g.startWaiting(now)
 }
 
-// minLearnTokens keeps very short prefills, mostly overhead, out of the rate.
+// minLearnTokens excludes very short prefills, which are mostly overhead, from the learned
+// rate.
 const minLearnTokens = 64
 
-// unqueue takes a prefill off its engine and dates the rest from now.
-func (g *Group) unqueue(t int64, i int, id lifecycle.AttemptID) {
+// dequeuePrefill removes a prefill from its engine and reschedules the others from now on.
+func (g *Group) dequeuePrefill(t int64, i int, id lifecycle.AttemptID) {
 	e, v := &g.engines[i], &g.view.Engines[i]
 	at := slices.Index(e.prefills, id)
 	if at < 0 {
@@ -54,7 +55,7 @@
 	}
 }
 
-// Done notes that an attempt is over, however it ended.
+// Done records the end of an attempt, whether it succeeded or failed.
 func (g *Group) Done(now time.Time, r Report) []Decision {
 	gr, ok := g.grants[r.ID]
 	if !ok {
@@ -62,30 +63,30 @@
 	}
 	t := sinceStart(g.start, now)
 	delete(g.grants, r.ID)
-	g.accounts.done(gr.ask.Account)
-	g.paceDone(t, gr)
+	g.accounts.release(gr.ask.Account)
+	g.noteDecodeSent(t, gr)
 	if gr.prefill != none && !gr.prefilled {
-		g.unqueue(t, gr.prefill, r.ID)
+		g.dequeuePrefill(t, gr.prefill, r.ID)
 	}
 	if gr.decode != none {
-		g.giveBack(t, gr)
+		g.releaseDecode(t, gr)
 	}
 	if r.Running && g.cfg.Growing && gr.decode != none {
-		g.lost = append(g.lost, gr)
+		g.unconfirmed = append(g.unconfirmed, gr)
 	}
 	g.learn(now, gr, r)
-	return g.pump(now)
+	return g.startWaiting(now)
 }
 
-func (g *Group) giveBack(t int64, gr *grant) {
+func (g *Group) releaseDecode(t int64, gr *grant) {
 	v := &g.view.Engines[gr.decode]
 	v.Held--
 	v.KVFree += gr.kvTokens
-	g.engines[gr.decode].memory.drop()
+	g.engines[gr.decode].memory.invalidate()
 	g.releases = g.releases.plus(t, 1, releaseHalfLife)
 }
 
-// learn takes in what a report says of times and failures.
+// learn updates estimates and engine health from a report.
 func (g *Group) learn(now time.Time, gr *grant, r Report) {
 	switch {
 	case r.Failed != "" && r.Full && g.resultLost(sinceStart(g.start, now), gr):
@@ -93,28 +94,28 @@
 	case r.Failed != "" && r.Full && g.cfg.Growing:
 		g.noteFull(sinceStart(g.start, now), gr, r.Failed)
 	case r.Failed != "":
-		g.fail(now, r)
+		g.recordFailure(now, r)
 	}
 	if !r.Finished || gr.decode == none {
-		g.endTrial(gr)
+		g.endTrials(gr)
 		return
 	}
-	g.learnService(sinceStart(g.start, now) - gr.granted)
+	g.learnService(sinceStart(g.start, now) - gr.grantedAt)
 	e := &g.engines[gr.decode]
-	e.breaker = e.breaker.WithSuccess(g.errors)
-	g.errors -= g.errors * errorShare
+	e.breaker = e.breaker.WithSuccess(g.errorRatio)
+	g.errorRatio -= g.errorRatio * errorWeight
 	if gr.prefill != none {
-		g.engines[gr.prefill].results = g.engines[gr.prefill].results.WithSuccess(0)
+		g.engines[gr.prefill].resultBreaker = g.engines[gr.prefill].resultBreaker.WithSuccess(0)
 	}
 	if g.cfg.Policy.NoLearning {
 		return
 	}
 	if r.Steps >= minLearnSteps {
-		// The batch changed while the request ran; what it is now is as good
-		// a guess of its middle as any.
+		// The batch changed while the request ran; its current size is as good an estimate of
+		// the mean as any.
 		batch := g.view.Engines[gr.decode].Held + 1
 		expected := e.spec.StepBase + e.spec.StepPer*time.Duration(batch)
-		e.step = e.step.With(expected*time.Duration(r.Steps), r.StepTime)
+		e.stepFactor = e.stepFactor.With(expected*time.Duration(r.Steps), r.StepTime)
 		g.refresh(gr.decode)
 	}
 	if g.cfg.Growing && !gr.ask.Resume {
@@ -123,11 +124,11 @@
 	g.learnLink(gr, r)
 }
 
-// serviceShare is the weight of one request in the mean time of plain ones: some
-// tens of them show that the endpoints have become slower.
-const serviceShare = 1.0 / 32
+// serviceWeight is the weight of one request in the mean service time of plain requests: some
+// tens of requests show that the endpoints have become slower.
+const serviceWeight = 1.0 / 32
 
-// learnService takes in how long a plain request held its slot.
+// learnService adds the time for which a plain request held its slot to the mean.
 func (g *Group) learnService(held int64) {
 	if !g.cfg.Plain {
 		return
@@ -135,10 +136,10 @@
 	if g.serviceNS == 0 {
 		g.serviceNS = float64(held)
 	}
-	g.serviceNS += (float64(held) - g.serviceNS) * serviceShare
+	g.serviceNS += (float64(held) - g.serviceNS) * serviceWeight
 }
 
-// minLearnSteps keeps very short answers out of the step time.
+// minLearnSteps excludes very short answers from the learned step time.
 const minLearnSteps = 8
 
 func (g *Group) learnLink(gr *grant, r Report) {
@@ -155,11 +156,12 @@
 	g.refreshLinks()
 }
 
-// minLearnMove keeps transfers that are mostly round trip out of the rate.
+// minLearnMove excludes transfers that are mostly round trip from the learned rate.
 const minLearnMove = 2 * time.Millisecond
 
-// endTrial lets another request test the engine if this one told nothing.
-func (g *Group) endTrial(gr *grant) {
+// endTrials ends the trials of a request that gave no result, so that another request can test
+// the engines.
+func (g *Group) endTrials(gr *grant) {
 	for _, i := range []int{gr.prefill, gr.decode} {
 		if i != none {
 			g.engines[i].breaker = g.engines[i].breaker.WithoutTrial()
@@ -167,32 +169,32 @@
 	}
 }
 
-// errorShare is the weight of one answer in the part of them that are errors, so that
-// some hundreds show it.
-const errorShare = 1.0 / 128
+// errorWeight is the weight of one answer in the error ratio: some hundreds of answers change
+// it noticeably.
+const errorWeight = 1.0 / 128
 
-// fail notes a failed order on an engine. One that could not be connected to is out at
-// once; errors that it answered, and that it was full, count by how usual they are in the
-// group: in a rush all endpoints turn requests away.
-func (g *Group) fail(now time.Time, r Report) {
+// recordFailure records a failed request on an engine. An engine that cannot be connected to is
+// ejected at once. Errors that it answered itself, and rejections because it is full, count
+// less the more common they are in the group: under overload all endpoints reject requests.
+func (g *Group) recordFailure(now time.Time, r Report) {
 	name, usual := r.Failed, 0.0
 	if r.Answered || r.Full {
-		usual = g.errors
-		g.errors += (1 - g.errors) * errorShare
+		usual = g.errorRatio
+		g.errorRatio += (1 - g.errorRatio) * errorWeight
 	}
 	i, ok := g.index[name]
 	if !ok || g.cfg.Policy.NoEjection {
 		return
 	}
 	e := &g.engines[i]
-	out, total := 0, 0
+	ejected, total := 0, 0
 	for j := range g.engines {
 		if j == i || g.engines[j].spec.Decode != e.spec.Decode {
 			continue
 		}
 		total++
 		if g.engines[j].breaker.Out(now) {
-			out++
+			ejected++
 		}
 	}
 	rules := g.cfg.Health
@@ -200,23 +202,23 @@
 		rules.Failures = 1
 	}
 	was := e.breaker.OutFor(now)
-	e.breaker = e.breaker.WithFailure(now, rules, health.Failure{Usual: usual, Others: out, Total: total + 1}, g.random)
+	e.breaker = e.breaker.WithFailure(now, rules, health.Failure{Usual: usual, Others: ejected, Total: total + 1}, g.random)
 	if is := e.breaker.OutFor(now); is > was {
-		g.ejections = append(g.ejections, Ejection{Engine: name, For: is, Unreached: r.Unreached, OthersOut: out, Others: total})
+		g.ejections = append(g.ejections, Ejection{Engine: name, For: is, Unreached: r.Unreached, OthersOut: ejected, Others: total})
 	}
 	g.marks.Forget(name)
 }
 
-// Ejections returns the engines taken out since it was last asked.
+// Ejections returns the ejections since the last call.
 func (g *Group) Ejections() []Ejection {
 	out := g.ejections
 	g.ejections = nil
 	return out
 }
 
-// Report takes in an engine's load report. Reports lag, so one that shows more
-// holds than were granted proves nothing; several in a row do, and then the
-// engine's cap shrinks by what it holds for somebody else.
+// Report handles an engine's load report. Reports lag, so a single one that shows more held
+// requests than were granted proves nothing. If several in a row do, the engine's maximum batch
+// is reduced by what it holds for others.
 func (g *Group) Report(l Load) {
 	i, ok := g.index[l.Engine]
 	if !ok {
@@ -224,23 +226,23 @@
 	}
 	e := &g.engines[i]
 	unknown := max(l.Held-g.view.Engines[i].Held, 0)
-	if e.reports == 0 {
-		// The first report is all there is to go by.
-		for k := range e.unknown {
-			e.unknown[k] = unknown
+	if e.reportCount == 0 {
+		// The first report is the only information so far.
+		for k := range e.unknownHeld {
+			e.unknownHeld[k] = unknown
 		}
 	}
-	e.unknown[e.reports%unknownReports] = unknown
-	e.reports++
+	e.unknownHeld[e.reportCount%unknownReports] = unknown
+	e.reportCount++
 	g.refresh(i)
 }
 
-// Evicted takes in a cache event: the engine dropped a prefix.
+// Evicted handles a cache event: the engine dropped a prefix.
 func (g *Group) Evicted(engine string, mark uint64) {
 	g.marks.Remove(engine, mark)
 }
 
-// Restarted takes in that the engine lost its cache, or that events were lost.
+// Restarted handles the loss of the engine's cache, or of its cache events.
 func (g *Group) Restarted(engine string) {
 	g.marks.Forget(engine)
 }
--- a/state/schedule/leaving.go
+++ b/state/schedule/leaving.go
@@ -5,22 +5,22 @@
 
 import "time"
 
-// leavingFor is how long an engine counts as leaving after a box last told so. Boxes tell it
-// with each question while the engine leaves, so that it ends by itself when the engine has
-// started again.
+// leavingFor is how long an engine counts as leaving after the last report from a box. Boxes
+// repeat it with each ask while the engine leaves, so it expires by itself once the engine has
+// restarted.
 const leavingFor = 5 * time.Second
 
-// noteLeaving takes in which engines told a box that they leave.
+// noteLeaving records engines that a box reported as leaving.
 func (g *Group) noteLeaving(t int64, engines []string) {
 	for _, name := range engines {
 		i, ok := g.index[name]
 		if !ok {
 			continue
 		}
-		g.stranded = g.stranded || !g.engines[i].leaves(t)
+		g.leavingChanged = g.leavingChanged || !g.engines[i].isLeaving(t)
 		g.engines[i].leavingUntil = t + int64(leavingFor)
 	}
 }
 
-// leaves says whether the engine gets nothing new since it leaves.
-func (e *engine) leaves(t int64) bool { return e.spec.Leaving || t < e.leavingUntil }
+// isLeaving reports whether the engine gets no new requests because it is leaving.
+func (e *engine) isLeaving(t int64) bool { return e.spec.Leaving || t < e.leavingUntil }
--- a/state/schedule/leaving_test.go
+++ b/state/schedule/leaving_test.go
@@ -103,7 +103,7 @@
 					refused = refused || ok && r.Ask.ID == waiting.ID && r.Reason == lifecycle.ReasonNoEngine
 				}
 				convey.So(refused, convey.ShouldEqual, c.refused)
-				convey.So(g.waits(waiting.ID) == nil, convey.ShouldEqual, c.refused)
+				convey.So(g.findWaiter(waiting.ID) == nil, convey.ShouldEqual, c.refused)
 			})
 		})
 	}
--- a/state/schedule/limit.go
+++ b/state/schedule/limit.go
@@ -9,46 +9,48 @@
 	"runridge.example/runridge/state/pace"
 )
 
-// limited is the limit that an engine names and what was granted of it.
-type limited struct {
+// engineLimitState is the limit that an engine announces, and the token bucket of what was
+// granted of it.
+type engineLimitState struct {
 	pace.Limit
-	// known says that the engine is known to name a limit, or none, as of seen.
+	// known is true if the group knows, as of seenAt, which limit the engine has or that it has
+	// none.
 	known  bool
-	seen   int64
+	seenAt int64
 	bucket pace.Bucket
 }
 
-// spent says whether nothing may be granted now.
-func (l *limited) spent() bool { return l.Named && !l.bucket.Allows() }
+// exhausted reports whether the limit allows no grant now.
+func (l *engineLimitState) exhausted() bool { return l.Named && !l.bucket.Allows() }
 
-// limitedOut is the number of engines that are held back by their own limit.
-func (g *Group) limitedOut() int {
+// limitedCount returns the number of engines left out because of their own limit.
+func (g *Group) limitedCount() int {
 	n := 0
 	for i := range g.engines {
-		if g.view.Engines[i].Paced && g.engines[i].limit.spent() {
+		if g.view.Engines[i].Paced && g.engines[i].limit.exhausted() {
 			n++
 		}
 	}
 	return n
 }
 
-// take counts a grant.
-func (l *limited) take() {
+// consume counts one grant against the limit.
+func (l *engineLimitState) consume() {
 	if l.Named {
 		l.bucket = l.bucket.WithTaken()
 	}
 }
 
-// LimitChange is an engine whose limit has changed.
+// LimitChange reports a change of an engine's limit.
 type LimitChange struct {
 	Engine        string
 	Before, After pace.Limit
-	// Age is how old the word was when it came.
+	// Age is the time from the engine's announcement until the group received it.
 	Age time.Duration
 }
 
-// NameLimits takes in what a box knows of engines' limits, and returns what that changes.
-// What the group knows already from a later answer stays.
+// NameLimits records what a box knows of engines' limits and returns the changes. Information
+// that is older than what the group has is ignored.
 func (g *Group) NameLimits(now time.Time, limits []EngineLimit) []LimitChange {
 	t := sinceStart(g.start, now)
 	var out []LimitChange
@@ -58,14 +60,14 @@
 			continue
 		}
 		e, seen := &g.engines[i], t-int64(l.Age)
-		if e.limit.known && seen <= e.limit.seen {
+		if e.limit.known && seen <= e.limit.seenAt {
 			continue
 		}
 		before := e.limit.Limit
 		if l.Limit.Named && !before.Named {
-			e.limit.bucket = pace.NewBucket(time.Duration(t), g.unsent(i))
+			e.limit.bucket = pace.NewBucket(time.Duration(t), g.unsentDecodes(i))
 		}
-		e.limit.Limit, e.limit.known, e.limit.seen = l.Limit, true, seen
+		e.limit.Limit, e.limit.known, e.limit.seenAt = l.Limit, true, seen
 		if before != l.Limit {
 			out = append(out, LimitChange{Engine: l.Engine, Before: before, After: l.Limit, Age: l.Age})
 		}
@@ -73,8 +75,8 @@
 	return out
 }
 
-// unsent is how many requests were granted for a decode engine whose prefill is not done.
-func (g *Group) unsent(i int) int {
+// unsentDecodes returns the number of grants for a decode engine whose prefill is not done.
+func (g *Group) unsentDecodes(i int) int {
 	n := 0
 	for _, gr := range g.grants {
 		if gr.decode == i && gr.prefill != none && !gr.prefilled {
@@ -84,8 +86,8 @@
 	return n
 }
 
-// limitRate is how many requests a second an engine may be granted here, if it names a
-// limit.
+// limitRate returns how many requests per second this group may grant to an engine with a
+// limit; 0 for an engine without one.
 func (g *Group) limitRate(t int64, e *engine) float64 {
 	if !e.limit.Named {
 		return 0
@@ -100,7 +102,7 @@
 	return g.cfg.LimitShare(g.start.Add(time.Duration(t)))
 }
 
-// fillBuckets brings the buckets of the engines that name a limit up to now.
+// fillBuckets refills the token buckets of engines with a limit up to now.
 func (g *Group) fillBuckets(t int64) {
 	for i := range g.engines {
 		if e := &g.engines[i]; e.limit.Named {
@@ -109,8 +111,8 @@
 	}
 }
 
-// limitsFor are the limits that go with a grant: those of its engines, and those of which
-// its ask knew something older.
+// limitsFor returns the limits to send with a grant: those of its engines, and those for which
+// its ask had other information.
 func (g *Group) limitsFor(t int64, gr *grant) []EngineLimit {
 	var out []EngineLimit
 	for i := range g.engines {
@@ -118,16 +120,16 @@
 		if !e.limit.known {
 			continue
 		}
-		if e.limit.Named && (i == gr.prefill || i == gr.decode) || toldOlder(gr.ask, e) {
-			out = append(out, EngineLimit{Engine: e.spec.Name, Limit: e.limit.Limit, Age: time.Duration(t - e.limit.seen)})
+		if e.limit.Named && (i == gr.prefill || i == gr.decode) || askHasOtherLimit(gr.ask, e) {
+			out = append(out, EngineLimit{Engine: e.spec.Name, Limit: e.limit.Limit, Age: time.Duration(t - e.limit.seenAt)})
 		}
 	}
 	return out
 }
 
-// toldOlder says whether an ask told another limit of an engine than is known here: what is
-// told later replaces what is known.
-func toldOlder(a Ask, e *engine) bool {
+// askHasOtherLimit reports whether the ask has a limit for the engine that differs from the one
+// known here, which is replaced only by newer information.
+func askHasOtherLimit(a Ask, e *engine) bool {
 	for _, l := range a.Limits {
 		if l.Engine == e.spec.Name {
 			return l.Limit != e.limit.Limit
@@ -136,24 +138,24 @@
 	return false
 }
 
-// LimitedEngine is what operators see of an engine that names a limit.
+// LimitedEngine is the status of an engine with a limit, for operators.
 type LimitedEngine struct {
 	Engine string
 	Limit  pace.Limit
-	// Rate is how many requests a second may be granted here.
+	// Rate is how many requests per second this group may grant.
 	Rate float64
-	// Since is how long ago the engine was last heard to name it.
+	// Since is the time since the engine last announced its limit.
 	Since time.Duration
 }
 
-// LimitedEngines lists the engines of the group that name a limit.
+// LimitedEngines lists the engines of the group that have a limit.
 func (g *Group) LimitedEngines(now time.Time) []LimitedEngine {
 	t := sinceStart(g.start, now)
 	var out []LimitedEngine
 	for i := range g.engines {
 		if e := &g.engines[i]; e.limit.Named {
 			out = append(out, LimitedEngine{
-				Engine: e.spec.Name, Limit: e.limit.Limit, Rate: g.limitRate(t, e), Since: time.Duration(t - e.limit.seen),
+				Engine: e.spec.Name, Limit: e.limit.Limit, Rate: g.limitRate(t, e), Since: time.Duration(t - e.limit.seenAt),
 			})
 		}
 	}
--- a/state/schedule/limit_test.go
+++ b/state/schedule/limit_test.go
@@ -11,8 +11,8 @@
 	"runridge.example/runridge/state/pace"
 )
 
-// names is what a box tells of an engine's limit.
-func names(engine string, perSecond float64, age time.Duration) []EngineLimit {
+// limitNotice is what a box tells of an engine's limit.
+func limitNotice(engine string, perSecond float64, age time.Duration) []EngineLimit {
 	return []EngineLimit{{Engine: engine, Limit: pace.LimitOf(perSecond), Age: age}}
 }
 
@@ -28,7 +28,7 @@
 	}
 	g := New(c, start)
 	for i := range limited {
-		g.NameLimits(start, names(c.Engines[i].Name, perSecond, 0))
+		g.NameLimits(start, limitNotice(c.Engines[i].Name, perSecond, 0))
 	}
 	return g
 }
@@ -115,12 +115,12 @@
 		t.Run(name, func(t *testing.T) {
 			g := limitedGroup(1, 0, 0, nil)
 			for _, w := range c.words {
-				g.NameLimits(start.Add(w.at), names("e0", w.perSecond, w.age))
+				g.NameLimits(start.Add(w.at), limitNotice("e0", w.perSecond, w.age))
 			}
 			if got := g.engines[0].limit.Limit; got != c.want {
 				t.Errorf("limit %+v, want %+v", got, c.want)
 			}
-			changes := g.NameLimits(start.Add(time.Hour), names("e0", 7, 0))
+			changes := g.NameLimits(start.Add(time.Hour), limitNotice("e0", 7, 0))
 			if len(changes) != 1 || changes[0].Before != c.want || changes[0].After != pace.LimitOf(7) {
 				t.Errorf("changes %+v", changes)
 			}
@@ -149,15 +149,15 @@
 		want []EngineLimit
 	}{
 		"nothing told":     {},
-		"an older limit":   {told: names("e1", 9, 2*time.Second), want: []EngineLimit{{Engine: "e1", Age: time.Second}}},
+		"an older limit":   {told: limitNotice("e1", 9, 2*time.Second), want: []EngineLimit{{Engine: "e1", Age: time.Second}}},
 		"what is known":    {told: []EngineLimit{{Engine: "e1", Age: 2 * time.Second}}},
-		"an unknown other": {told: names("e7", 9, 0)},
+		"an unknown other": {told: limitNotice("e7", 9, 0)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := limitedGroup(2, 0, 0, nil)
-			g.NameLimits(start, names("e1", 3, 0))
-			g.NameLimits(start.Add(time.Second), names("e1", -1, 0))
+			g.NameLimits(start, limitNotice("e1", 3, 0))
+			g.NameLimits(start.Add(time.Second), limitNotice("e1", -1, 0))
 			a := ask(1, 1)
 			a.Avoid, a.Limits = []string{"e1"}, c.told
 			now := start.Add(2 * time.Second)
--- a/state/schedule/memory.go
+++ b/state/schedule/memory.go
@@ -8,53 +8,53 @@
 	"time"
 )
 
-// usualLoad is the mean of what is asked for lately, in tokens.
-type usualLoad struct{ prompt, guess float64 }
+// meanLoad is the mean size of recent asks, in tokens.
+type meanLoad struct{ promptTokens, outputTokens float64 }
 
-// usualShare is the weight of one ask in the mean.
-const usualShare = 1.0 / 32
+// meanLoadWeight is the weight of one ask in the mean.
+const meanLoadWeight = 1.0 / 32
 
 // with returns the mean after one more ask.
-func (u usualLoad) with(a Ask) usualLoad {
-	if u == (usualLoad{}) {
-		return usualLoad{prompt: float64(a.PromptTokens), guess: float64(a.OutputTokens)}
+func (u meanLoad) with(a Ask) meanLoad {
+	if u == (meanLoad{}) {
+		return meanLoad{promptTokens: float64(a.PromptTokens), outputTokens: float64(a.OutputTokens)}
 	}
-	u.prompt += (float64(a.PromptTokens) - u.prompt) * usualShare
-	u.guess += (float64(a.OutputTokens) - u.guess) * usualShare
+	u.promptTokens += (float64(a.PromptTokens) - u.promptTokens) * meanLoadWeight
+	u.outputTokens += (float64(a.OutputTokens) - u.outputTokens) * meanLoadWeight
 	return u
 }
 
-// atMost is the load of an ask, or the usual one if that is smaller.
-func (u usualLoad) atMost(a Ask) load {
-	return load{held: min(a.PromptTokens, int(u.prompt)), guess: min(a.OutputTokens, int(u.guess))}
+// atMost returns the memory of an ask, limited to that of a mean one.
+func (u meanLoad) atMost(a Ask) requestMemory {
+	return requestMemory{heldTokens: min(a.PromptTokens, int(u.promptTokens)), expectedOutput: min(a.OutputTokens, int(u.outputTokens))}
 }
 
-// usualLength is the expected length of a usual answer, in tokens.
+// usualLength returns the expected answer length of a mean ask, in tokens.
 func (g *Group) usualLength() float64 {
-	return max(g.lengths.Expected(int(g.usual.guess)), 1)
+	return max(g.lengths.Expected(int(g.meanAsk.outputTokens)), 1)
 }
 
-// loadsOn lists the memory of the requests on those engines that are wanted:
-// those granted, and those whose answer was lost, for as long as they should
-// take.
-func (g *Group) loadsOn(t int64, wanted func(i int) bool) [][]load {
-	out := make([][]load, len(g.engines))
+// memoryByEngine returns, for each wanted engine, the memory of its requests: those that are
+// granted, and those whose answer was lost, until they should have ended. Unconfirmed grants
+// that should have ended are removed.
+func (g *Group) memoryByEngine(t int64, wanted func(i int) bool) [][]requestMemory {
+	out := make([][]requestMemory, len(g.engines))
 	for _, gr := range g.grants {
 		if gr.decode != none && wanted(gr.decode) {
-			out[gr.decode] = append(out[gr.decode], g.loadOf(t, gr))
+			out[gr.decode] = append(out[gr.decode], g.memoryOf(t, gr))
 		}
 	}
 	for i := range g.engines {
-		if unaccounted := g.engines[i].unaccountedAt(t); unaccounted > 0 && wanted(i) {
-			out[i] = append(out[i], load{held: unaccounted})
+		if unaccounted := g.engines[i].unaccountedTokensAt(t); unaccounted > 0 && wanted(i) {
+			out[i] = append(out[i], requestMemory{heldTokens: unaccounted})
 		}
 	}
-	g.lost = slices.DeleteFunc(g.lost, func(gr *grant) bool {
-		if gr.decode == none || float64(g.madeBy(t, gr)) >= g.lengths.Expected(gr.ask.OutputTokens) {
+	g.unconfirmed = slices.DeleteFunc(g.unconfirmed, func(gr *grant) bool {
+		if gr.decode == none || float64(g.generatedBy(t, gr)) >= g.lengths.Expected(gr.ask.OutputTokens) {
 			return true
 		}
 		if wanted(gr.decode) {
-			out[gr.decode] = append(out[gr.decode], g.loadOf(t, gr))
+			out[gr.decode] = append(out[gr.decode], g.memoryOf(t, gr))
 		}
 		return false
 	})
@@ -62,16 +62,15 @@
 }
 
 const (
-	// fullPause is how long an engine that turned a request away gets nothing.
+	// fullPause is how long an engine gets no requests after it rejected one as full.
 	fullPause = int64(100 * time.Millisecond)
-	// unaccountedFor is how long memory that must be held for others is reckoned
-	// with; it shrinks evenly over that time.
-	unaccountedFor = int64(1500 * time.Millisecond)
+	// unaccountedDecay is the time in which the memory that an engine must be holding for
+	// others is assumed to fall linearly to zero.
+	unaccountedDecay = int64(1500 * time.Millisecond)
 )
 
-// noteFull takes in that an engine turned a request away although the forecast
-// had room for it: it holds memory that this group knows nothing of, granted by
-// a home before or beside this one.
+// noteFull records that an engine rejected a request although the forecast had room for it: it
+// holds memory that this group did not grant, but an earlier or a concurrent home.
 func (g *Group) noteFull(t int64, gr *grant, name string) {
 	i, ok := g.index[name]
 	if !ok {
@@ -83,40 +82,41 @@
 		return
 	}
 	known := 0
-	for _, l := range g.loadsOn(t, func(j int) bool { return j == i })[i] {
-		known += l.held
+	for _, l := range g.memoryByEngine(t, func(j int) bool { return j == i })[i] {
+		known += l.heldTokens
 	}
-	// What is known includes what was reckoned as such before.
-	e.unaccounted = e.unaccountedAt(t) + max(e.spec.KVTokens-gr.ask.PromptTokens-known, 0)
+	// known includes the memory that was counted as unaccounted before.
+	e.unaccountedTokens = e.unaccountedTokensAt(t) + max(e.spec.KVTokens-gr.ask.PromptTokens-known, 0)
 	e.unaccountedSince = t
-	e.memory.drop()
+	e.memory.invalidate()
 }
 
-// unaccountedAt is the memory that the engine is reckoned to hold for others.
-func (e *engine) unaccountedAt(t int64) int {
-	left := unaccountedFor - (t - e.unaccountedSince)
-	if left <= 0 {
+// unaccountedTokensAt returns the memory that the engine is assumed to hold for others, in
+// tokens.
+func (e *engine) unaccountedTokensAt(t int64) int {
+	remaining := unaccountedDecay - (t - e.unaccountedSince)
+	if remaining <= 0 {
 		return 0
 	}
-	return int(float64(e.unaccounted) * float64(left) / float64(unaccountedFor))
+	return int(float64(e.unaccountedTokens) * float64(remaining) / float64(unaccountedDecay))
 }
 
-// loadOf is the memory of one grant.
-func (g *Group) loadOf(t int64, gr *grant) load {
-	made := g.madeBy(t, gr)
-	return load{held: gr.ask.PromptTokens + made, guess: max(gr.ask.OutputTokens, 1), made: made}
+// memoryOf returns the estimated memory of a grant.
+func (g *Group) memoryOf(t int64, gr *grant) requestMemory {
+	made := g.generatedBy(t, gr)
+	return requestMemory{heldTokens: gr.ask.PromptTokens + made, expectedOutput: max(gr.ask.OutputTokens, 1), generated: made}
 }
 
-// madeBy is how many tokens a grant's engine should have made.
-func (g *Group) madeBy(t int64, gr *grant) int {
+// generatedBy returns how many tokens the engine should have generated for a grant by now.
+func (g *Group) generatedBy(t int64, gr *grant) int {
 	if !gr.prefilled && gr.prefill != none {
 		return 0
 	}
 	v := &g.view.Engines[gr.decode]
-	return int(float64(max(t-gr.decodeAt, 0)) / max(v.stepNS(v.Held), 1))
+	return int(float64(max(t-gr.decodeStartedAt, 0)) / max(v.stepNS(v.Held), 1))
 }
 
-// updateForecasts makes the forecasts anew that are stale.
+// updateForecasts recomputes all stale forecasts.
 func (g *Group) updateForecasts(t int64) {
 	stale := make([]bool, len(g.engines))
 	for i := range g.engines {
@@ -126,7 +126,7 @@
 		return
 	}
 	usual := g.usualLength()
-	for i, loads := range g.loadsOn(t, func(i int) bool { return stale[i] }) {
+	for i, loads := range g.memoryByEngine(t, func(i int) bool { return stale[i] }) {
 		if !stale[i] {
 			continue
 		}
@@ -134,15 +134,15 @@
 		for _, l := range loads {
 			f = f.with(l, usual, g.lengths)
 		}
-		g.engines[i].memory = cachedForecast{forecast: f, at: max(t, 1)}
+		g.engines[i].memory = cachedForecast{forecast: f, computedAt: max(t, 1)}
 	}
 }
 
-// forecastMemory sets what each engine can still promise to an ask, by the
-// highest point that its memory is expected to reach.
+// forecastMemory updates the free memory of each engine for an ask, based on the peak that its
+// memory use is expected to reach.
 func (g *Group) forecastMemory(t int64, a Ask) {
 	g.updateForecasts(t)
-	further := forecast{}.with(load{held: a.PromptTokens, guess: max(a.OutputTokens, 1)}, g.usualLength(), g.lengths)
+	further := forecast{}.with(requestMemory{heldTokens: a.PromptTokens, expectedOutput: max(a.OutputTokens, 1)}, g.usualLength(), g.lengths)
 	need := a.PromptTokens + a.OutputTokens
 	for i := range g.engines {
 		e := &g.engines[i]
@@ -153,21 +153,20 @@
 	}
 }
 
-// memoryWaitNS is how long an ask waits until the first engine has room; where
-// none has within the forecast, as long as that reaches. One that is larger than
-// usual is reckoned as one of usual size: by its own size it would be refused far
-// more often than the others.
+// memoryWaitNS returns how long an ask waits until the first engine has room for it, or the
+// whole length of the forecast if none has. An ask larger than the mean is treated as one of
+// mean size: by its own size it would be refused far more often than others.
 func (g *Group) memoryWaitNS(t int64, a Ask) int64 {
 	g.updateForecasts(t)
 	usual := g.usualLength()
-	further := forecast{}.with(g.usual.atMost(a), usual, g.lengths)
+	further := forecast{}.with(g.meanAsk.atMost(a), usual, g.lengths)
 	earliest, found := int64(0), false
 	for i := range g.engines {
 		v, e := &g.view.Engines[i], &g.engines[i]
 		if !v.Decode && (!v.Paced || !e.spec.Decode) {
 			continue
 		}
-		steps := e.memory.stepsUntilRoom(&further, usual, float64(e.spec.KVTokens))
+		steps := e.memory.stepsUntilFits(&further, usual, float64(e.spec.KVTokens))
 		if steps < 0 {
 			steps = usual
 		}
--- a/state/schedule/memory_test.go
+++ b/state/schedule/memory_test.go
@@ -14,8 +14,8 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// growing is a group of decode engines whose memory grows with answers.
-func growing(engines, memory int) *Group {
+// growingGroup is a group of decode engines whose memory grows with answers.
+func growingGroup(engines, memory int) *Group {
 	cfg := Config{Growing: true, Targets: Targets{FirstToken: 900 * time.Millisecond, PerToken: 4 * time.Millisecond}}
 	cfg.Engines = append(cfg.Engines, EngineSpec{Name: "p", Zone: "z", Prefill: true, Slots: 64, KVTokens: memory, PrefillRate: 40_000})
 	for i := range engines {
@@ -64,10 +64,10 @@
 		// Each holds 1,000 tokens of prompt and some 1,130 more at its end. The
 		// fifth begins once the first have made some of their answers: all
 		// together may need 10,650 then, with a small chance (TestOracleRisk).
-		convey.So(admitted(growing(1, 10_000), 12, start), convey.ShouldEqual, 5)
+		convey.So(admitted(growingGroup(1, 10_000), 12, start), convey.ShouldEqual, 5)
 	})
 	convey.Convey("A run whose answer was lost still holds its memory, and not for ever", t, func() {
-		g := growing(1, 10_000)
+		g := growingGroup(1, 10_000)
 		convey.So(admitted(g, 4, start), convey.ShouldEqual, 4)
 		now := start.Add(50 * time.Millisecond)
 		for i := range uint64(4) {
@@ -79,7 +79,7 @@
 		convey.So(grantsIn(g.Ask(later, askOf(11, 1000, 1000))), convey.ShouldBeGreaterThan, 0)
 	})
 	convey.Convey("A run that is over gives its memory back at once", t, func() {
-		g := growing(1, 10_000)
+		g := growingGroup(1, 10_000)
 		admitted(g, 4, start)
 		now := start.Add(50 * time.Millisecond)
 		g.Done(now, Report{ID: askOf(0, 0, 0).ID, Finished: true})
@@ -89,23 +89,23 @@
 
 func TestRetryAfter(t *testing.T) {
 	convey.Convey("Refused callers are told to come one after the other", t, func() {
-		g := growing(1, 10_000)
+		g := growingGroup(1, 10_000)
 		last := time.Duration(0)
 		for range 10 {
-			after := g.scheduleRetry(0, retryFloor, 0)
+			after := g.scheduleRetry(0, minRetryAfter, 0)
 			convey.So(after, convey.ShouldBeGreaterThan, last)
 			last = after
 		}
-		convey.So(last, convey.ShouldBeGreaterThan, retryFloor)
+		convey.So(last, convey.ShouldBeGreaterThan, minRetryAfter)
 	})
 }
 
 func TestUnreachedIsOutAtOnce(t *testing.T) {
 	convey.Convey("One refused connection takes an engine out, one failure does not", t, func() {
-		g := growing(3, 100_000)
-		g.fail(start, Report{Failed: "a"})
+		g := growingGroup(3, 100_000)
+		g.recordFailure(start, Report{Failed: "a"})
 		convey.So(g.engines[1].breaker.Out(start), convey.ShouldBeFalse)
-		g.fail(start, Report{Failed: "b", Unreached: true})
+		g.recordFailure(start, Report{Failed: "b", Unreached: true})
 		convey.So(g.engines[2].breaker.Out(start), convey.ShouldBeTrue)
 		told := g.Ejections()
 		convey.So(told, convey.ShouldHaveLength, 1)
@@ -118,7 +118,7 @@
 
 func TestFullEngine(t *testing.T) {
 	convey.Convey("An engine that turned a request away gets less for a while, and is not taken for sick", t, func() {
-		g := growing(1, 10_000)
+		g := growingGroup(1, 10_000)
 		first := askOf(0, 1000, 1000)
 		convey.So(grantsIn(g.Ask(start, first)), convey.ShouldEqual, 1)
 		g.Prefilled(start, first.ID, 0, 0)
@@ -132,12 +132,12 @@
 
 func TestRetryAfterWithinPatience(t *testing.T) {
 	convey.Convey("When more callers are refused than can be told a time of their own, the others come as late as they will", t, func() {
-		g := growing(1, 10_000)
+		g := growingGroup(1, 10_000)
 		const patience = 4 * time.Second
 		last, latest := time.Duration(0), 0
 		for range 200 {
-			after := g.scheduleRetry(0, retryFloor, patience)
-			convey.So(after, convey.ShouldBeBetweenOrEqual, retryFloor, patience)
+			after := g.scheduleRetry(0, minRetryAfter, patience)
+			convey.So(after, convey.ShouldBeBetweenOrEqual, minRetryAfter, patience)
 			convey.So(after, convey.ShouldBeGreaterThanOrEqualTo, last)
 			last = after
 			if after == patience {
@@ -147,19 +147,19 @@
 		convey.So(latest, convey.ShouldBeBetween, 150, 200)
 	})
 	convey.Convey("Once the rush is over, the next refused caller is told a short time again", t, func() {
-		g := growing(1, 10_000)
+		g := growingGroup(1, 10_000)
 		for range 200 {
-			g.scheduleRetry(0, retryFloor, 4*time.Second)
+			g.scheduleRetry(0, minRetryAfter, 4*time.Second)
 		}
 		later := int64(10 * time.Second)
-		convey.So(g.scheduleRetry(later, retryFloor, 4*time.Second), convey.ShouldBeLessThan, 2*time.Second)
+		convey.So(g.scheduleRetry(later, minRetryAfter, 4*time.Second), convey.ShouldBeLessThan, 2*time.Second)
 	})
 }
 
 // fullGroup is a group of one decode engine whose memory is taken by four
 // requests, the first of which ends in about a second.
 func fullGroup() (*Group, time.Time) {
-	g := growing(1, 10_000)
+	g := growingGroup(1, 10_000)
 	admitted(g, 4, start)
 	return g, start.Add(50 * time.Millisecond)
 }
@@ -175,7 +175,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey("A request that another group refused is granted at once or refused, and books no time to come back", t, func() {
-				g, now := growing(1, 10_000), start
+				g, now := growingGroup(1, 10_000), start
 				if c.full {
 					g, now = fullGroup()
 				}
@@ -185,7 +185,7 @@
 				convey.So(decisions, convey.ShouldHaveLength, 1)
 				convey.So(describe(decisions[0]), convey.ShouldEqual, c.want)
 				convey.So(g.Waiting(), convey.ShouldEqual, 0)
-				convey.So(g.nextReturn, convey.ShouldEqual, 0)
+				convey.So(g.nextRetryAt, convey.ShouldEqual, 0)
 			})
 		})
 	}
@@ -193,7 +193,7 @@
 
 func TestNoPrefillWithoutSlot(t *testing.T) {
 	convey.Convey("Where a prefill result lapses soon, none is made before a decode slot is there for it", t, func() {
-		g := growing(1, 1_000_000)
+		g := growingGroup(1, 1_000_000)
 		g.engines[1].spec.Slots = 4
 		g.refresh(1)
 		now := start
@@ -221,18 +221,18 @@
 // overload offers a group half as much again as it can serve, of prompts of
 // very different lengths, and counts what came and what began by length.
 type overload struct {
-	group       *Group
-	random      *rand.Rand
-	now         time.Time
-	size        map[lifecycle.AttemptID]int
-	until       map[lifecycle.AttemptID]time.Time
-	came, began [sizes]int
+	group            *Group
+	random           *rand.Rand
+	now              time.Time
+	size             map[lifecycle.AttemptID]int
+	until            map[lifecycle.AttemptID]time.Time
+	offered, started [sizes]int
 }
 
 func (o *overload) take(decisions []Decision) {
 	for _, d := range decisions {
 		if grant, ok := d.(Grant); ok {
-			o.began[o.size[grant.Ask.ID]]++
+			o.started[o.size[grant.Ask.ID]]++
 			o.until[grant.Ask.ID] = o.now.Add(time.Second)
 			o.take(o.group.Prefilled(o.now, grant.Ask.ID, 0, 0))
 		}
@@ -251,7 +251,7 @@
 		size := o.random.IntN(sizes)
 		a := askOf(n, (size+1)*sizeStep, 3000)
 		o.size[a.ID] = size
-		o.came[size]++
+		o.offered[size]++
 		o.take(o.group.Ask(o.now, a))
 		o.take(o.group.Tick(o.now))
 	}
@@ -261,7 +261,7 @@
 	for seed := range uint64(4) {
 		convey.Convey("Under overload the longest prompts begin at least half as often as all, and so do those just below, seed "+strconv.FormatUint(seed, 10), t, func() {
 			o := &overload{
-				group:  growing(2, 60_000),
+				group:  growingGroup(2, 60_000),
 				random: rand.New(rand.NewPCG(seed, 1)),
 				now:    start,
 				size:   make(map[lifecycle.AttemptID]int),
@@ -270,14 +270,14 @@
 			o.run(3000, 40*time.Millisecond)
 			came, began := 0, 0
 			for i := range sizes {
-				came += o.came[i]
-				began += o.began[i]
+				came += o.offered[i]
+				began += o.started[i]
 			}
 			all := float64(began) / float64(came)
-			t.Log(o.came, o.began)
+			t.Log(o.offered, o.started)
 			convey.So(all, convey.ShouldBeBetween, 0.3, 0.95)
-			longest := float64(o.began[sizes-1]) / float64(o.came[sizes-1])
-			below := float64(o.began[sizes-2]+o.began[sizes-3]) / float64(o.came[sizes-2]+o.came[sizes-3])
+			longest := float64(o.started[sizes-1]) / float64(o.offered[sizes-1])
+			below := float64(o.started[sizes-2]+o.started[sizes-3]) / float64(o.offered[sizes-2]+o.offered[sizes-3])
 			convey.So(longest, convey.ShouldBeGreaterThan, all/2)
 			convey.So(below, convey.ShouldBeGreaterThan, all/2)
 		})
@@ -298,7 +298,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey("A request from another region leaves a part of the engine's memory free", t, func() {
-				g := growing(1, 10_000)
+				g := growingGroup(1, 10_000)
 				first := askOf(1, 8000, 100)
 				g.Ask(start, first)
 				g.Prefilled(start, first.ID, 0, 0)
--- a/state/schedule/order.go
+++ b/state/schedule/order.go
@@ -8,130 +8,133 @@
 	"time"
 )
 
-// waiter is an ask in the queue. Times are nanoseconds since the group's start.
+// waiter is a request in the queue. Times are nanoseconds since the group's start.
 type waiter struct {
 	ask Ask
-	// asked is when the ask came.
-	asked   int64
-	arrived int64
-	// deadline is the latest first token that still meets the target.
+	// askedAt is when the ask arrived here, and arrivedAt when the request arrived at its box.
+	askedAt   int64
+	arrivedAt int64
+	// deadline is the latest time of a first token that meets the target. For a late request it
+	// is when its caller gives up.
 	deadline int64
-	// idle is the time to the first token on an idle system.
-	idle int64
-	// late is that of the ask: the deadline is then when its caller gives up.
+	// idleNS is the time to the first token on an idle group.
+	idleNS int64
+	// late is true if the request can no longer meet its target.
 	late bool
 }
 
-// hopeless says whether even an idle system could not meet the deadline.
-func (w *waiter) hopeless(now int64) bool {
-	return !w.ask.Resume && now+w.idle > w.deadline
+// cannotMeetDeadline reports whether even an idle group could not meet the deadline.
+func (w *waiter) cannotMeetDeadline(now int64) bool {
+	return !w.ask.Resume && now+w.idleNS > w.deadline
 }
 
-// usage is an amount that halves with each half-life, as of a time.
-type usage struct {
+// decayedSum is a sum that decays exponentially; amount is its value at a time.
+type decayedSum struct {
 	amount float64
 	at     int64
 }
 
-// usageHalfLife is how fast what an account took is forgotten.
+// usageHalfLife is the half-life of the prefill time charged to accounts and of the use of
+// zones.
 const usageHalfLife = float64(10 * time.Second)
 
-func (u usage) value(now int64, halfLife float64) float64 {
+func (u decayedSum) value(now int64, halfLife float64) float64 {
 	return u.amount * math.Exp2(-float64(now-u.at)/halfLife)
 }
 
-// rate is the steady rate per nanosecond that the usage stands for: one of r
-// decays to r*halfLife/ln2 in the sum.
-func (u usage) rate(now int64, halfLife float64) float64 {
+// rate returns the steady rate per nanosecond that corresponds to the sum: a constant rate of r
+// keeps the sum at r*halfLife/ln2.
+func (u decayedSum) rate(now int64, halfLife float64) float64 {
 	return u.value(now, halfLife) * math.Ln2 / halfLife
 }
 
-// plus is the usage after some more.
-func (u usage) plus(now int64, more, halfLife float64) usage {
-	return usage{amount: u.value(now, halfLife) + more, at: now}
+// plus returns the sum after adding more.
+func (u decayedSum) plus(now int64, more, halfLife float64) decayedSum {
+	return decayedSum{amount: u.value(now, halfLife) + more, at: now}
 }
 
-// accounts keeps the fairness state of all accounts seen lately.
+// accounts is the fairness state of all recently active accounts.
 type accounts struct {
-	// used is the prefill time over its weight that an account took.
-	used   map[string]usage
-	active map[string]int
+	// prefillUse is the recent prefill time of an account, divided by its weight. inFlight is
+	// its number of grants in flight.
+	prefillUse map[string]decayedSum
+	inFlight   map[string]int
 	// total is the decayed sum over all accounts.
-	total usage
+	total decayedSum
 }
 
 func newAccounts() accounts {
-	return accounts{used: make(map[string]usage), active: make(map[string]int)}
+	return accounts{prefillUse: make(map[string]decayedSum), inFlight: make(map[string]int)}
 }
 
-// charge notes that an account was granted some prefill time.
+// charge records a grant of an account and its prefill time.
 func (a *accounts) charge(name string, amount float64, now int64) {
-	a.used[name] = a.used[name].plus(now, amount, usageHalfLife)
+	a.prefillUse[name] = a.prefillUse[name].plus(now, amount, usageHalfLife)
 	a.total = a.total.plus(now, amount, usageHalfLife)
-	a.active[name]++
+	a.inFlight[name]++
 }
 
-// done notes that one of the account's grants is over.
-func (a *accounts) done(name string) {
-	a.active[name]--
-	if a.active[name] <= 0 {
-		delete(a.active, name)
+// release records that one of the account's grants has ended.
+func (a *accounts) release(name string) {
+	a.inFlight[name]--
+	if a.inFlight[name] <= 0 {
+		delete(a.inFlight, name)
 	}
 }
 
-// forget drops accounts whose use has decayed to almost nothing.
-func (a *accounts) forget(now int64) {
+// prune removes accounts whose use has decayed to almost nothing.
+func (a *accounts) prune(now int64) {
 	const little = float64(time.Millisecond)
-	for name, u := range a.used {
+	for name, u := range a.prefillUse {
 		if u.value(now, usageHalfLife) < little {
-			delete(a.used, name)
+			delete(a.prefillUse, name)
 		}
 	}
 }
 
-// excess is how far an account is above the average, 0 to 1.
+// excess returns how far an account is above the average use, from 0 to 1.
 func (a *accounts) excess(name string, now int64) float64 {
-	if len(a.used) < 2 {
+	if len(a.prefillUse) < 2 {
 		return 0
 	}
-	average := a.total.value(now, usageHalfLife) / float64(len(a.used))
+	average := a.total.value(now, usageHalfLife) / float64(len(a.prefillUse))
 	if average <= 0 {
 		return 0
 	}
-	return min(max(a.used[name].value(now, usageHalfLife)/average-1, 0), 1)
+	return min(max(a.prefillUse[name].value(now, usageHalfLife)/average-1, 0), 1)
 }
 
-// key orders the queue, the smallest first. A step of priority is worth more
-// than any deadline; within one priority the earliest deadline goes first, an
-// account that took more than its share stands as if it had come up to one
-// whole target later, and work that is short goes before work that is long.
-func (g *Group) key(w *waiter, now int64) float64 {
+// orderKey returns the sort key of a waiter; the smallest goes first. A step of priority
+// outweighs any deadline. Within a priority the earliest deadline goes first, where an account
+// above its fair share is put back by up to one whole target and short requests go before long
+// ones.
+func (g *Group) orderKey(w *waiter, now int64) float64 {
 	if g.cfg.Policy.NoOrder {
-		return float64(w.arrived)
+		return float64(w.arrivedAt)
 	}
 	target := float64(g.cfg.Targets.FirstToken)
 	excess := g.accounts.excess(w.ask.Account, now) * target
-	key := float64(w.deadline) + excess + shortFirst*float64(w.idle) - float64(w.ask.Priority)*float64(priorityStep)
+	key := float64(w.deadline) + excess + idleTimeWeight*float64(w.idleNS) - float64(w.ask.Priority)*float64(priorityStep)
 	if w.late {
-		key += float64(lateStep)
+		key += float64(lateOffset)
 	}
 	return key
 }
 
 const (
-	// priorityStep is how much earlier a step of priority puts a request.
+	// priorityStep is how much earlier one step of priority puts a request.
 	priorityStep = time.Hour
-	// lateStep puts a late request behind all others, whatever their priority.
-	lateStep = 100 * priorityStep
-	// shortFirst weighs a request's own length in the order.
-	shortFirst = 1.0
+	// lateOffset puts late requests behind all others, whatever their priority.
+	lateOffset = 100 * priorityStep
+	// idleTimeWeight is the weight of a request's own duration in the order.
+	idleTimeWeight = 1.0
 )
 
-// next returns the index of the waiter with the smallest key above last.
-func (g *Group) next(now int64, last float64) (int, float64) {
+// nextWaiter returns the index and key of the waiter with the smallest key above last.
+func (g *Group) nextWaiter(now int64, last float64) (int, float64) {
 	index, lowest := none, math.Inf(1)
 	for i, w := range g.waiting {
-		k := g.key(w, now)
+		k := g.orderKey(w, now)
 		if k > last && k < lowest {
 			index, lowest = i, k
 		}
@@ -139,7 +142,7 @@
 	return index, lowest
 }
 
-// remove takes a waiter out of the queue.
+// remove removes a waiter from the queue.
 func (g *Group) remove(i int) {
 	last := len(g.waiting) - 1
 	g.waiting[i] = g.waiting[last]
--- a/state/schedule/pace.go
+++ b/state/schedule/pace.go
@@ -13,25 +13,25 @@
 	"runridge.example/runridge/state/pace"
 )
 
-// Cold engines bear few requests a second and fall over when they get more. Each
-// grant is counted for the cold engines that it will reach, and one that was granted
-// what it bears is left out until the next may go. While the engines of a zone came
-// back and bore 1 request a second, the bound of 6.5 was broken 75 times on a day
-// without this, and engines fell over 149 times (docs/design/places.md).
+// Cold engines can serve few requests per second and crash when they get more. Each grant
+// counts against the limit of the cold engines that it will reach, and an engine that has
+// reached its limit is left out until the next request may go. Without this, on a day when the
+// engines of a zone came back and could serve 1 request per second, the limit of 6.5 was
+// exceeded 75 times and engines crashed 149 times (docs/design/places.md).
 
-// ColdChange is an engine that has become cold, or warm.
+// ColdChange reports that an engine has become cold or warm.
 type ColdChange struct {
 	Engine string
 	Cold   bool
-	// For is how long it will be cold.
+	// For is how long the engine will stay cold.
 	For time.Duration
 }
 
-// speed is what was learnt of an engine's times.
-type speed struct{ prefill, step estimate.Factor }
+// learnedSpeed is what was learned of an engine's prefill and step times.
+type learnedSpeed struct{ prefill, step estimate.Factor }
 
-// paceLimit is what a cold engine may be granted now.
-func (g *Group) paceLimit(t int64) int {
+// coldGrantLimit returns how many grants a cold engine may have within pace.Span.
+func (g *Group) coldGrantLimit(t int64) int {
 	if g.cfg.ColdLimit == nil {
 		return pace.Unbounded
 	}
@@ -41,78 +41,79 @@
 	return g.coldLimit
 }
 
-// noteCold takes in which engines have become cold or warm. Without a bound none is.
-func (g *Group) noteCold(t int64) {
+// updateCold detects engines that have become cold or warm. Without a limit no engine counts as
+// cold.
+func (g *Group) updateCold(t int64) {
 	for i := range g.engines {
 		e := &g.engines[i]
-		left := e.coldFor(g.start, t)
-		cold := left > 0 && g.paceLimit(t) != pace.Unbounded
+		remaining := e.coldRemaining(g.start, t)
+		cold := remaining > 0 && g.coldGrantLimit(t) != pace.Unbounded
 		if cold == e.cold {
 			continue
 		}
 		e.cold = cold
 		if cold {
-			e.warm = speed{e.prefill, e.step}
-			g.seedPace(t, i)
+			e.warmSpeed = learnedSpeed{e.prefillFactor, e.stepFactor}
+			g.seedPacedWindow(t, i)
 		} else {
-			e.regainSpeed()
+			e.restoreWarmSpeed()
 		}
 		g.refresh(i)
-		g.coldChanges = append(g.coldChanges, ColdChange{Engine: e.spec.Name, Cold: cold, For: left})
+		g.coldChanges = append(g.coldChanges, ColdChange{Engine: e.spec.Name, Cold: cold, For: remaining})
 	}
 }
 
-// regainSpeed brings back what was learnt of the engine before it was cold. Of a new
-// one nothing was: what it took when cold is the best guess until it has done more.
-// Begun anew from the table's figures, all new engines seemed four times as fast as
-// they were, and 0.05 of a day's worth was lost.
-func (e *engine) regainSpeed() {
-	if e.warm.prefill.Seen() > 0 {
-		e.prefill = e.warm.prefill
+// restoreWarmSpeed restores what was learned of the engine before it became cold. If nothing
+// was, as for a new engine, its times while cold are the best estimate until it has served more
+// requests. Starting again from the table's rates made all new engines seem four times as fast
+// as they were, and cost 0.05 of a day's goodput.
+func (e *engine) restoreWarmSpeed() {
+	if e.warmSpeed.prefill.Seen() > 0 {
+		e.prefillFactor = e.warmSpeed.prefill
 	}
-	if e.warm.step.Seen() > 0 {
-		e.step = e.warm.step
+	if e.warmSpeed.step.Seen() > 0 {
+		e.stepFactor = e.warmSpeed.step
 	}
 }
 
-// coldFor is how long the engine is still cold.
-func (e *engine) coldFor(start time.Time, t int64) time.Duration {
+// coldRemaining returns how long the engine will still be cold.
+func (e *engine) coldRemaining(start time.Time, t int64) time.Duration {
 	if e.spec.ColdUntil.IsZero() {
 		return 0
 	}
 	return max(e.spec.ColdUntil.Sub(start)-time.Duration(t), 0)
 }
 
-// seedPace counts what was granted for an engine before it was known to be cold.
-func (g *Group) seedPace(t int64, i int) {
+// seedPacedWindow counts the grants that an engine got before it was known to be cold.
+func (g *Group) seedPacedWindow(t int64, i int) {
 	e := &g.engines[i]
 	for _, gr := range g.grants {
-		at := gr.granted
+		at := gr.grantedAt
 		switch {
-		case gr.openDecode:
+		case gr.decodeUnsent:
 			continue
 		case gr.decode == i && gr.prefill != none && !gr.prefilled:
-			gr.openDecode = true
-			e.paced = e.paced.WithOpen(time.Duration(gr.granted))
+			gr.decodeUnsent = true
+			e.pacedWindow = e.pacedWindow.WithOpen(time.Duration(gr.grantedAt))
 			continue
 		case gr.decode == i:
-			at = gr.decodeAt
+			at = gr.decodeStartedAt
 		case gr.prefill != i || gr.reuse:
 			continue
 		}
 		if time.Duration(t-at) < pace.Span {
-			e.paced = e.paced.WithSent(time.Duration(at))
+			e.pacedWindow = e.pacedWindow.WithSent(time.Duration(at))
 		}
 	}
 }
 
-// holdBack takes the engines out of the view that were granted what they bear while cold,
-// or what they name as their limit.
-func (g *Group) holdBack(t int64) {
+// excludePaced removes engines from the view that have reached their limit, either as cold
+// engines or the limit that they announce.
+func (g *Group) excludePaced(t int64) {
 	g.fillBuckets(t)
 	for i := range g.engines {
 		e, v := &g.engines[i], &g.view.Engines[i]
-		spent := e.cold && e.paced.Count(time.Duration(t)) >= g.paceLimit(t) || e.limit.spent()
+		spent := e.cold && e.pacedWindow.Count(time.Duration(t)) >= g.coldGrantLimit(t) || e.limit.exhausted()
 		v.Paced = (v.Prefill || v.Decode) && spent
 		if v.Paced {
 			v.Prefill, v.Decode = false, false
@@ -120,19 +121,19 @@
 	}
 }
 
-// bounded says whether what the engine may be granted is bounded.
-func (e *engine) bounded() bool { return e.cold || e.limit.Named }
+// isPaced reports whether the number of grants to the engine is limited.
+func (e *engine) isPaced() bool { return e.cold || e.limit.Named }
 
-// updatePace has the view say which engines are held back now, if any may be.
-func (g *Group) updatePace(t int64, a Ask) {
-	g.noteCold(t)
-	if slices.ContainsFunc(g.engines, func(e engine) bool { return e.bounded() }) {
-		g.setOut(t, a)
+// updatePacing updates the view if any engine's grants are limited.
+func (g *Group) updatePacing(t int64, a Ask) {
+	g.updateCold(t)
+	if slices.ContainsFunc(g.engines, func(e engine) bool { return e.isPaced() }) {
+		g.updateAvailability(t, a)
 	}
 }
 
-// pacedOut is the number of engines that are held back.
-func (g *Group) pacedOut() int {
+// pacedCount returns the number of engines left out because of a limit.
+func (g *Group) pacedCount() int {
 	n := 0
 	for i := range g.view.Engines {
 		if g.view.Engines[i].Paced {
@@ -142,98 +143,98 @@
 	return n
 }
 
-// takePace counts a grant for the bounded engines that it will reach.
-func (g *Group) takePace(t int64, gr *grant) {
-	if gr.prefill != none && !gr.reuse && g.engines[gr.prefill].bounded() {
+// countPaced counts a grant against the limits of the engines that it will reach.
+func (g *Group) countPaced(t int64, gr *grant) {
+	if gr.prefill != none && !gr.reuse && g.engines[gr.prefill].isPaced() {
 		e := &g.engines[gr.prefill]
-		e.limit.take()
+		e.limit.consume()
 		if e.cold {
-			e.paced = e.paced.WithSent(time.Duration(t))
+			e.pacedWindow = e.pacedWindow.WithSent(time.Duration(t))
 		}
 		gr.pacedPrefill = true
 	}
 	if gr.decode != none {
-		g.takeDecodePace(t, gr)
+		g.countPacedDecode(t, gr)
 	}
 }
 
-// takeDecodePace counts a grant for its decode engine, if that is bounded. The request
-// is sent there when its prefill is done.
-func (g *Group) takeDecodePace(t int64, gr *grant) {
+// countPacedDecode counts a grant against the limit of its decode engine, if it has one. The
+// request is sent there when its prefill is done.
+func (g *Group) countPacedDecode(t int64, gr *grant) {
 	e := &g.engines[gr.decode]
-	if !e.bounded() {
+	if !e.isPaced() {
 		return
 	}
 	gr.pacedDecode = true
-	e.limit.take()
+	e.limit.consume()
 	switch {
 	case !e.cold:
 	case gr.prefill == none || gr.prefilled:
-		e.paced = e.paced.WithSent(time.Duration(t))
+		e.pacedWindow = e.pacedWindow.WithSent(time.Duration(t))
 	default:
-		gr.openDecode = true
-		e.paced = e.paced.WithOpen(time.Duration(gr.granted))
+		gr.decodeUnsent = true
+		e.pacedWindow = e.pacedWindow.WithOpen(time.Duration(gr.grantedAt))
 	}
 }
 
-// paceDone notes that a grant's decode is sent now, or was sent before.
-func (g *Group) paceDone(t int64, gr *grant) {
-	if !gr.openDecode || gr.decode == none {
+// noteDecodeSent records that a grant's decode is sent now, or was sent before.
+func (g *Group) noteDecodeSent(t int64, gr *grant) {
+	if !gr.decodeUnsent || gr.decode == none {
 		return
 	}
-	gr.openDecode = false
+	gr.decodeUnsent = false
 	e := &g.engines[gr.decode]
-	e.paced = e.paced.WithDone(time.Duration(gr.granted), time.Duration(t))
+	e.pacedWindow = e.pacedWindow.WithDone(time.Duration(gr.grantedAt), time.Duration(t))
 }
 
-// abandon leaves what an attempt was counted for as it is: its box may send it all
-// the same, having another home now or being cut off.
-func (g *Group) abandon(id lifecycle.AttemptID) {
+// keepPacedDecode leaves an attempt counted against its cold engine as it is: its box may still
+// send it, because it has another home by now or is cut off.
+func (g *Group) keepPacedDecode(id lifecycle.AttemptID) {
 	if gr, ok := g.grants[id]; ok {
-		gr.openDecode = false
+		gr.decodeUnsent = false
 	}
 }
 
-// paceWaitNS is how long a waiter would wait until enough places of bounded engines are
-// free for those before it and itself; 0 where an unbounded engine of the stage is left.
+// paceWaitNS returns how long a waiter would wait until engines with a limit may serve those
+// before it and itself; 0 if a stage still has an engine without a limit.
 func (g *Group) paceWaitNS(w *waiter, t int64) int64 {
-	if g.pacedOut() == 0 {
+	if g.pacedCount() == 0 {
 		return 0
 	}
-	own, before := g.key(w, t), 0
+	key, before := g.orderKey(w, t), 0
 	for _, o := range g.waiting {
-		if g.key(o, t) < own {
+		if g.orderKey(o, t) < key {
 			before++
 		}
 	}
-	prefill := g.placesFreeNS(t, before, func(i int) bool { return g.engines[i].spec.Prefill })
-	decode := g.placesFreeNS(t, before, func(i int) bool { return g.engines[i].spec.Decode })
+	prefill := g.pacedCapacityWaitNS(t, before, func(i int) bool { return g.engines[i].spec.Prefill })
+	decode := g.pacedCapacityWaitNS(t, before, func(i int) bool { return g.engines[i].spec.Decode })
 	return max(prefill, decode)
 }
 
-// placesFreeNS is when one more than so many places are free among the engines of a
-// stage, or the first of them is bounded no more.
-func (g *Group) placesFreeNS(t int64, before int, of func(i int) bool) int64 {
-	var engines []places
+// pacedCapacityWaitNS returns the time until the engines of a stage may get more than the given
+// number of requests, or until the first of them is no longer limited.
+func (g *Group) pacedCapacityWaitNS(t int64, before int, of func(i int) bool) int64 {
+	var engines []pacedCapacity
 	warm := int64(0)
 	for i := range g.engines {
 		e, v := &g.engines[i], &g.view.Engines[i]
 		if !of(i) || !v.Prefill && !v.Decode && !v.Paced {
 			continue
 		}
-		if !e.bounded() {
+		if !e.isPaced() {
 			return 0
 		}
-		if left := int64(e.coldFor(g.start, t)); !e.limit.Named && (warm == 0 || left < warm) {
-			warm = left
+		if remaining := int64(e.coldRemaining(g.start, t)); !e.limit.Named && (warm == 0 || remaining < warm) {
+			warm = remaining
 		}
-		engines = append(engines, g.placesOf(t, e))
+		engines = append(engines, g.pacedCapacityOf(t, e))
 	}
 	wait := int64(0)
 	for range before + 1 {
 		next, at := none, int64(math.MaxInt64)
 		for k := range engines {
-			if free := engines[k].next(); next == none || free < at {
+			if free := engines[k].nextFreeAt(); next == none || free < at {
 				next, at = k, free
 			}
 		}
@@ -249,71 +250,73 @@
 	return wait
 }
 
-// longestPaceWait is how long a waiter is taken to wait where nothing comes free.
+// longestPaceWait is the maximum wait estimated where no capacity becomes free.
 const longestPaceWait = 10 * time.Second
 
-// places are when the places of one bounded engine are free, one after the other.
-type places struct {
-	// window are those that it has while cold; nil is any number.
-	window []time.Duration
-	limit  limited
-	// rate is that of its limit, in requests a second.
+// pacedCapacity yields the times at which one engine with a limit may get its next requests.
+type pacedCapacity struct {
+	// coldFree are the times at which the engine may get requests while cold; nil means no
+	// limit.
+	coldFree []time.Duration
+	limit    engineLimitState
+	// rate is the rate of its announced limit, in requests per second.
 	rate  float64
 	taken int
 }
 
-func (g *Group) placesOf(t int64, e *engine) places {
-	p := places{limit: e.limit, rate: g.limitRate(t, e)}
+func (g *Group) pacedCapacityOf(t int64, e *engine) pacedCapacity {
+	p := pacedCapacity{limit: e.limit, rate: g.limitRate(t, e)}
 	if e.cold {
-		p.window = e.paced.Free(time.Duration(t), g.paceLimit(t))
-		slices.Sort(p.window)
+		p.coldFree = e.pacedWindow.Free(time.Duration(t), g.coldGrantLimit(t))
+		slices.Sort(p.coldFree)
 	}
 	return p
 }
 
-// next is when the next place is free; places of a cold engine come free again after the
-// span that a request counts.
-func (p places) next() int64 {
+// nextFreeAt returns the time at which the engine may get its next request. A cold engine may
+// get another one pace.Span after each.
+func (p pacedCapacity) nextFreeAt() int64 {
 	at := time.Duration(0)
 	if p.limit.Named {
 		at = p.limit.bucket.Free(p.taken, p.rate)
 	}
 	switch {
-	case p.window == nil:
-	case len(p.window) == 0:
+	case p.coldFree == nil:
+	case len(p.coldFree) == 0:
 		return math.MaxInt64
 	default:
-		turns, place := p.taken/len(p.window), p.taken%len(p.window)
-		at = max(at, p.window[place]+time.Duration(turns)*pace.Span)
+		turns, place := p.taken/len(p.coldFree), p.taken%len(p.coldFree)
+		at = max(at, p.coldFree[place]+time.Duration(turns)*pace.Span)
 	}
 	return int64(at)
 }
 
-// Paced is what the group's cold engines were granted, for a group that has them later.
+// Paced returns the recent grants to the group's cold engines, for a group that has these
+// engines later.
 func (g *Group) Paced() map[string]pace.Window {
 	out := make(map[string]pace.Window)
 	for i := range g.engines {
 		if e := &g.engines[i]; e.cold {
-			out[e.spec.Name] = e.paced
+			out[e.spec.Name] = e.pacedWindow
 		}
 	}
 	return out
 }
 
-// ColdChanges returns the engines that became cold or warm since it was last asked.
+// ColdChanges returns the engines that have become cold or warm since the last call.
 func (g *Group) ColdChanges(now time.Time) []ColdChange {
-	g.noteCold(sinceStart(g.start, now))
+	g.updateCold(sinceStart(g.start, now))
 	out := g.coldChanges
 	g.coldChanges = nil
 	return out
 }
 
-// ColdEngine is what operators see of a cold engine.
+// ColdEngine is the status of a cold engine, for operators.
 type ColdEngine struct {
 	Engine string
-	// Until is when it is warm.
+	// Until is when the engine will be warm.
 	Until time.Time
-	// Counted is what it was granted in the span before, and Limit the most.
+	// Counted is the number of grants within the last pace.Span, and Limit the maximum.
 	Counted, Limit int
 }
 
@@ -326,7 +329,7 @@
 		if e.cold {
 			out = append(out, ColdEngine{
 				Engine: e.spec.Name, Until: e.spec.ColdUntil,
-				Counted: e.paced.Count(time.Duration(t)), Limit: g.paceLimit(t),
+				Counted: e.pacedWindow.Count(time.Duration(t)), Limit: g.coldGrantLimit(t),
 			})
 		}
 	}
--- a/state/schedule/pace_test.go
+++ b/state/schedule/pace_test.go
@@ -173,13 +173,13 @@
 			turned.Policy = warm.Policy
 			g.Configure(now, turned)
 			serve(cold, warmAt)
-			learnt := g.engines[0].prefill.Value()
+			learnt := g.engines[0].prefillFactor.Value()
 			g.ColdChanges(start.Add(warmAt))
-			is := g.engines[0].prefill.Value()
+			is := g.engines[0].prefillFactor.Value()
 			if learnt < 0.8*cold || is < 0.8*c.want || is > 1.2*c.want {
 				t.Errorf("times are %.1f of the table's when cold and %.1f when warm, want %d and %.0f", learnt, is, cold, c.want)
 			}
-			if step := g.engines[1].step.Value(); step < 0.8*c.want || step > 1.2*c.want {
+			if step := g.engines[1].stepFactor.Value(); step < 0.8*c.want || step > 1.2*c.want {
 				t.Errorf("steps take %.1f of the table's when warm, want %.0f", step, c.want)
 			}
 		})
--- a/state/schedule/place.go
+++ b/state/schedule/place.go
@@ -10,123 +10,124 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// EngineView is one engine as the decision sees it. Times are nanoseconds
-// since the group's start, so that a view is cheap to read.
+// EngineView is the state of an engine that a placement depends on. Times are nanoseconds since
+// the group's start, which keeps a view cheap to read.
 type EngineView struct {
-	// Zone is an index into the view's zones.
+	// Zone is an index into the group's zones.
 	Zone int
-	// Prefill and Decode say what the engine may do now; both are false for
-	// one that is leaving or ejected.
+	// Prefill and Decode report which stages the engine may get requests for now; both are
+	// false if it is leaving or ejected.
 	Prefill, Decode bool
-	// Paced says that the engine is left out only since it was granted what it bears
-	// while cold, or what it names as its limit.
+	// Paced is true if the engine is left out only because it has reached its limit, either as
+	// a cold engine or the limit that it announces.
 	Paced bool
-	// FreeAt is when the prefill work granted so far should be done.
+	// FreeAt is when the prefills granted so far should be done.
 	FreeAt int64
-	// Queued is the number of prefills granted and not done.
+	// Queued is the number of granted prefills that are not done.
 	Queued int
-	// PrefillNS is the time of one token's prefill.
+	// PrefillNS is the prefill time per token.
 	PrefillNS float64
-	// Held is the number of decodes granted, Cap the most that keep the
-	// per-token target.
-	Held, Cap int
-	// KVFree is the memory not yet promised and KVTokens all of it, in tokens.
+	// Held is the number of granted decodes, and MaxHeld the largest that keeps the per-token
+	// target.
+	Held, MaxHeld int
+	// KVFree is the memory that is not reserved, and KVTokens all of it, in tokens.
 	KVFree, KVTokens int
-	// StepBaseNS and StepPerNS give a decode step's time.
+	// StepBaseNS and StepPerNS give the time of a decode step: base plus per request in the
+	// batch.
 	StepBaseNS, StepPerNS float64
-	// Cached is how many tokens of this prompt the engine probably has.
+	// Cached is the number of tokens of this prompt that are probably in the engine's cache.
 	Cached int
-	// LocalNS is prefill done beside the engine's batch lately, as of LocalAt;
-	// it decays as the batch that it slowed down ends.
+	// LocalNS is the recent prefill time that delayed the engine's decode batch, as of LocalAt;
+	// it decays as the requests of that batch end.
 	LocalNS float64
 	LocalAt int64
 }
 
-// View is what placement looks at.
+// View is the state of a group that a placement depends on.
 type View struct {
 	Engines []EngineView
 	// Zones is the number of zones.
 	Zones int
-	// LinkFreeAt and LinkNS have Zones*Zones entries: when the link is free,
-	// and its time for one token's KV cache.
+	// LinkFreeAt is when each link is free, and LinkNS its transfer time per token. Both have
+	// Zones*Zones entries; the index is from*Zones + to.
 	LinkFreeAt []int64
 	LinkNS     []float64
-	// ZoneNS is what choosing a zone costs in the comparison, for zones that
-	// took more than their weight lately.
+	// ZoneNS is the penalty for choosing a zone: above 0 for zones that recently got more than
+	// their share by weight.
 	ZoneNS []float64
-	// LeadNS is how much work an engine's own queue may hold: enough to keep
-	// it busy over a round trip, and no more, since what waits here can still
-	// be put in order.
-	LeadNS int64
-	// StepTargetNS is the target between two tokens.
+	// MaxPrefillBacklogNS is how much prefill time an engine's own queue may hold: enough to
+	// keep it busy for a round trip and no more, because requests that wait in the group can
+	// still be reordered.
+	MaxPrefillBacklogNS int64
+	// StepTargetNS is the target for the time between two tokens.
 	StepTargetNS float64
-	// Late leaves the decode engine open until the prefill is done; Book says
+	// DeferDecode leaves the decode engine open until the prefill is done. MayDefer reports
 	// whether such a prefill may start.
-	Late, Book bool
-	// Joint looks at decode slots before starting a prefill.
+	DeferDecode, MayDefer bool
+	// Joint requires a free decode slot before a prefill starts.
 	Joint bool
 	// Recompute allows prefill on decode engines.
 	Recompute bool
 }
 
-// Need is what a request asks of a placement.
+// Need is what a request requires of a placement.
 type Need struct {
 	PromptTokens int
-	// KVTokens is the most memory that the request will hold.
+	// KVTokens is the maximum memory of the request, in tokens.
 	KVTokens int
-	// LeftNS is the time in which the first token is still in time.
-	LeftNS float64
+	// RemainingNS is the time remaining until the deadline for the first token.
+	RemainingNS float64
 }
 
-// Choice is where a request goes: indexes into the view's engines.
+// Choice is the placement of a request; engines are indexes into the view.
 type Choice struct {
 	Mode lifecycle.Mode
-	// Prefill is -1 for Recompute; Decode is -1 when the slot is still to come.
+	// Prefill is -1 for Recompute; Decode is -1 if the engine is chosen when the prefill is
+	// done.
 	Prefill, Decode int
-	// Reuse says that Prefill keeps the result already.
+	// Reuse is true if Prefill already keeps the result.
 	Reuse bool
-	// FirstTokenNS is the estimated time to the first token from now.
+	// FirstTokenNS is the estimated time from now to the first token.
 	FirstTokenNS int64
-	// PrefillNS is the prefill's own share of it.
+	// PrefillNS is the part of it that the prefill takes.
 	PrefillNS int64
 }
 
 const (
-	// maxZones bounds the zones that one group's placement weighs.
+	// maxZones is the maximum number of zones that a placement considers.
 	maxZones = 16
 	none     = -1
-	// recomputeShare is the part of the step target's slack, over a usual
-	// answer, that prefills on a decode engine may take from its batch.
+	// recomputeShare is the share of the step target's slack, over a usual answer, that
+	// prefills on a decode engine may take from its batch.
 	recomputeShare = 0.5
-	// usualSteps is the length of answer that the slack is reckoned over.
+	// usualSteps is the answer length, in steps, over which the slack is computed.
 	usualSteps = 48
 )
 
-// best keeps the best candidate in each zone.
-type best struct {
+// bestByZone keeps the candidate with the lowest score in each zone.
+type bestByZone struct {
 	index [maxZones]int
 	score [maxZones]float64
 }
 
-func newBest() best {
-	var b best
+func newBest() bestByZone {
+	var b bestByZone
 	for z := range b.index {
 		b.index[z] = none
 	}
 	return b
 }
 
-func (b *best) offer(zone, index int, score float64) {
+func (b *bestByZone) offer(zone, index int, score float64) {
 	if b.index[zone] == none || score < b.score[zone] {
 		b.index[zone] = index
 		b.score[zone] = score
 	}
 }
 
-// Place finds the pair of engines with the earliest first token, or reports
-// that none can start the request now. It reads each engine once and then
-// weighs the best of each zone against each other, so its time grows with the
-// number of engines and not with its square. It changes nothing.
+// Place returns the pair of engines with the earliest first token, or false if none can start
+// the request now. It reads each engine once and then compares the best of each zone, so its
+// time is linear in the number of engines rather than quadratic. It does not change the view.
 func Place(v *View, now int64, need Need) (Choice, bool) {
 	prefills, decodes, local := newBest(), newBest(), newBest()
 	earliest := math.Inf(1)
@@ -134,7 +135,7 @@
 		e := &v.Engines[i]
 		if e.Prefill {
 			done := float64(max(e.FreeAt, now)) + e.prefillNS(need)
-			if e.FreeAt-now <= v.LeadNS {
+			if e.FreeAt-now <= v.MaxPrefillBacklogNS {
 				prefills.offer(e.Zone, i, done)
 			}
 			if !e.Decode {
@@ -144,15 +145,15 @@
 		if !e.Decode {
 			continue
 		}
-		if !v.Joint || e.Held < e.Cap && e.KVFree >= need.KVTokens {
-			decodes.offer(e.Zone, i, e.fill())
+		if !v.Joint || e.Held < e.MaxHeld && e.KVFree >= need.KVTokens {
+			decodes.offer(e.Zone, i, e.utilization())
 		}
 		if v.Recompute && v.recomputeFits(e, now, need) {
 			local.offer(e.Zone, i, e.prefillNS(need)+e.displacedNS(need))
 		}
 	}
-	choice, found := v.move(now, need, &prefills, &decodes)
-	c, ok := v.recompute(need, &local)
+	choice, found := v.placeMove(now, need, &prefills, &decodes)
+	c, ok := v.placeRecompute(need, &local)
 	if !ok {
 		return choice, found
 	}
@@ -160,50 +161,50 @@
 	if found {
 		moved = float64(choice.FirstTokenNS)
 	}
-	if v.recomputeEarns(&c, moved, need) {
+	if v.recomputeIsFaster(&c, moved, need) {
 		return c, true
 	}
 	return choice, found
 }
 
-// recomputeEarns says whether a prefill beside a batch is worth the time that
-// it takes from that batch, against a first token after moved by way of a
-// prefill engine, which may still be busy: the request then waits for it.
-func (v *View) recomputeEarns(c *Choice, moved float64, need Need) bool {
+// recomputeIsFaster reports whether a prefill on a decode engine is worth the time that it
+// takes from the batch there. moved is the time to the first token by way of a prefill engine,
+// for which the request may have to wait.
+func (v *View) recomputeIsFaster(c *Choice, moved float64, need Need) bool {
 	first := float64(c.FirstTokenNS)
 	displaced := v.Engines[c.Decode].displacedNS(need)
-	if need.LeftNS > 0 && moved > need.LeftNS {
-		// Only the batch can have it in time. One late request costs as much
-		// as what a target's worth of decode time would have served.
-		return displaced <= need.LeftNS
+	if need.RemainingNS > 0 && moved > need.RemainingNS {
+		// Only the decode engine can meet the deadline. One late request costs as much as what
+		// a target's worth of decode time would have served.
+		return displaced <= need.RemainingNS
 	}
 	return first+displaced < moved
 }
 
-// displacedNS is the decode time that a prefill beside the engine's batch takes
-// from others: each request of the batch is held up for as long as it runs, and
-// that is time lost as far as the engine's memory is in use.
+// displacedNS returns the decode time that a prefill on the engine takes from its batch: each
+// request of the batch is delayed by the prefill, which costs throughput to the extent that the
+// engine's memory is in use.
 func (e *EngineView) displacedNS(need Need) float64 {
-	used := e.fill()
+	used := e.utilization()
 	if e.KVTokens > 0 {
 		used = max(used, 1-float64(e.KVFree)/float64(e.KVTokens))
 	}
 	return e.prefillNS(need) * float64(e.Held) * min(max(used, 0), 1)
 }
 
-// PlaceKept finds the decode engine for a request whose prefill result is
-// still kept by an engine.
+// PlaceKept returns the decode engine for a request whose prefill result is kept by an engine,
+// or false if none can take it.
 func PlaceKept(v *View, now int64, need Need, kept int) (Choice, bool) {
 	out := Choice{Mode: lifecycle.Move, Prefill: kept, Decode: none, Reuse: true}
 	from := v.Engines[kept].Zone
 	lowest := 0.0
 	for i := range v.Engines {
 		e := &v.Engines[i]
-		if !e.Decode || i == kept || e.Held >= e.Cap || e.KVFree < need.KVTokens {
+		if !e.Decode || i == kept || e.Held >= e.MaxHeld || e.KVFree < need.KVTokens {
 			continue
 		}
 		first := v.moveNS(from, e.Zone, float64(now), need) + e.stepNS(e.Held+1)
-		score := first + e.fill()*v.StepTargetNS
+		score := first + e.utilization()*v.StepTargetNS
 		if out.Decode == none || score < lowest {
 			lowest = score
 			out.Decode = i
@@ -217,18 +218,18 @@
 	return e.PrefillNS * float64(max(need.PromptTokens-e.Cached, 1))
 }
 
-// fill is how full the engine is, 0 to 1 and above.
-func (e *EngineView) fill() float64 {
-	return float64(e.Held+1) / float64(max(e.Cap, 1))
+// utilization returns how full the engine would be with one more request; 1 is full.
+func (e *EngineView) utilization() float64 {
+	return float64(e.Held+1) / float64(max(e.MaxHeld, 1))
 }
 
 func (e *EngineView) stepNS(batch int) float64 {
 	return e.StepBaseNS + e.StepPerNS*float64(batch)
 }
 
-// recomputeFits says whether the engine's batch can bear a prefill beside it.
+// recomputeFits reports whether the engine's batch can tolerate a prefill.
 func (v *View) recomputeFits(e *EngineView, now int64, need Need) bool {
-	if e.FreeAt > now || e.Held >= e.Cap || e.KVFree < need.KVTokens {
+	if e.FreeAt > now || e.Held >= e.MaxHeld || e.KVFree < need.KVTokens {
 		return false
 	}
 	if e.Held == 0 {
@@ -238,26 +239,27 @@
 	return e.localNS(now)+e.prefillNS(need) <= slack*recomputeShare
 }
 
-// localNS is what is left of the delay that recent prefills beside the batch
-// mean for it: none once a usual answer's time has passed.
+// localNS returns the remaining effect of recent prefills on the batch; it reaches 0 after the
+// time of a usual answer.
 func (e *EngineView) localNS(now int64) float64 {
 	window := usualSteps * e.stepNS(e.Held+1)
 	return e.LocalNS * max(1-float64(now-e.LocalAt)/window, 0)
 }
 
-// move finds the pair of engines, or the prefill engine alone.
-func (v *View) move(now int64, need Need, prefills, decodes *best) (Choice, bool) {
-	if !v.Late {
-		return v.pair(now, need, prefills, decodes)
+// placeMove returns the pair of engines, or the prefill engine alone if the decode engine is
+// chosen later.
+func (v *View) placeMove(now int64, need Need, prefills, decodes *bestByZone) (Choice, bool) {
+	if !v.DeferDecode {
+		return v.placePair(now, need, prefills, decodes)
 	}
-	if !v.Book {
+	if !v.MayDefer {
 		return Choice{}, false
 	}
-	return v.book(now, need, prefills)
+	return v.placePrefill(now, need, prefills)
 }
 
-// pair weighs the zones' best prefill engines against their decode engines.
-func (v *View) pair(now int64, need Need, prefills, decodes *best) (Choice, bool) {
+// placePair compares the best prefill engine of each zone with the best decode engine of each.
+func (v *View) placePair(now int64, need Need, prefills, decodes *bestByZone) (Choice, bool) {
 	out := Choice{Mode: lifecycle.Move, Prefill: none, Decode: none}
 	bestScore, found := 0.0, false
 	for pz := range v.Zones {
@@ -284,8 +286,8 @@
 	return out, found
 }
 
-// book starts a prefill although no decode slot is free yet.
-func (v *View) book(now int64, need Need, prefills *best) (Choice, bool) {
+// placePrefill returns a prefill engine for a request whose decode engine is chosen later.
+func (v *View) placePrefill(now int64, need Need, prefills *bestByZone) (Choice, bool) {
 	out := Choice{Mode: lifecycle.Move, Prefill: none, Decode: none}
 	lowest := 0.0
 	for z := range v.Zones {
@@ -304,14 +306,14 @@
 	return out, out.Prefill != none
 }
 
-// moveNS is the time from the end of the prefill to the end of the transfer.
+// moveNS returns the time from the end of the prefill to the end of the transfer.
 func (v *View) moveNS(from, to int, done float64, need Need) float64 {
 	link := from*v.Zones + to
 	start := max(float64(v.LinkFreeAt[link]), done)
 	return start - done + v.LinkNS[link]*float64(need.PromptTokens)
 }
 
-func (v *View) recompute(need Need, local *best) (Choice, bool) {
+func (v *View) placeRecompute(need Need, local *bestByZone) (Choice, bool) {
 	out := Choice{Mode: lifecycle.Recompute, Prefill: none, Decode: none}
 	lowest := 0.0
 	for z := range v.Zones {
@@ -320,7 +322,7 @@
 			continue
 		}
 		e := &v.Engines[d]
-		// The prefill runs in pieces between steps, so the batch slows it.
+		// The prefill runs in chunks between decode steps, so the batch slows it down.
 		first := int64(e.prefillNS(need) + e.stepNS(e.Held+1))
 		score := float64(first) + e.displacedNS(need) + v.ZoneNS[z]
 		if out.Decode == none || score < lowest {
@@ -333,7 +335,7 @@
 	return out, out.Decode != none
 }
 
-// sinceStart converts a time to the view's nanoseconds.
+// sinceStart converts a time to nanoseconds since the group's start.
 func sinceStart(start, now time.Time) int64 {
 	return int64(now.Sub(start))
 }
--- a/state/schedule/place_test.go
+++ b/state/schedule/place_test.go
@@ -19,18 +19,18 @@
 		Engines: []EngineView{
 			{Prefill: true, FreeAt: int64(prefillBusy), PrefillNS: 50_000},
 			{
-				Decode: true, Held: held, Cap: 40, KVFree: kvFree, KVTokens: 40_000,
+				Decode: true, Held: held, MaxHeld: 40, KVFree: kvFree, KVTokens: 40_000,
 				PrefillNS: 100_000, StepBaseNS: 5e6, StepPerNS: 30_000,
 			},
 		},
-		Zones:        1,
-		LinkFreeAt:   make([]int64, 1),
-		LinkNS:       make([]float64, 1),
-		ZoneNS:       make([]float64, 1),
-		LeadNS:       int64(12 * time.Millisecond),
-		StepTargetNS: 33e6,
-		Joint:        true,
-		Recompute:    true,
+		Zones:               1,
+		LinkFreeAt:          make([]int64, 1),
+		LinkNS:              make([]float64, 1),
+		ZoneNS:              make([]float64, 1),
+		MaxPrefillBacklogNS: int64(12 * time.Millisecond),
+		StepTargetNS:        33e6,
+		Joint:               true,
+		Recompute:           true,
 	}
 }
 
@@ -62,7 +62,7 @@
 		for name, c := range cases {
 			convey.Convey(name, func() {
 				v := busyView(c.busy, c.held, c.kvFree)
-				choice, found := Place(v, 0, Need{PromptTokens: 2000, KVTokens: 2500, LeftNS: float64(c.left)})
+				choice, found := Place(v, 0, Need{PromptTokens: 2000, KVTokens: 2500, RemainingNS: float64(c.left)})
 				convey.So(found, convey.ShouldEqual, c.found)
 				if found {
 					convey.So(choice.Mode, convey.ShouldEqual, c.mode)
--- a/state/schedule/queue.go
+++ b/state/schedule/queue.go
@@ -10,8 +10,8 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// waits is the waiter of an ask, if it is in the queue.
-func (g *Group) waits(id lifecycle.AttemptID) *waiter {
+// findWaiter returns the waiter of an ask, or nil if it is not in the queue.
+func (g *Group) findWaiter(id lifecycle.AttemptID) *waiter {
 	i := slices.IndexFunc(g.waiting, func(w *waiter) bool { return w.ask.ID == id })
 	if i < 0 {
 		return nil
@@ -19,14 +19,14 @@
 	return g.waiting[i]
 }
 
-// waiter works out an ask's deadline and its time on an idle system.
-func (g *Group) waiter(a Ask, t int64) *waiter {
-	w := &waiter{ask: a, asked: t, arrived: t - int64(a.Waited), idle: g.idleNS(a), late: a.Late}
+// newWaiter returns a waiter with the deadline of an ask and its time on an idle group.
+func (g *Group) newWaiter(a Ask, t int64) *waiter {
+	w := &waiter{ask: a, askedAt: t, arrivedAt: t - int64(a.Waited), idleNS: g.idleNS(a), late: a.Late}
 	if g.cfg.Plain {
-		w.idle = int64(g.serviceNS)
+		w.idleNS = int64(g.serviceNS)
 	}
 	if a.Late {
-		w.deadline = t + int64(a.GiveUp) - onTheWay(a)
+		w.deadline = t + int64(a.GiveUp) - messageTime(a)
 		return w
 	}
 	targets := g.cfg.Targets
@@ -35,50 +35,51 @@
 		target = a.Deadline
 	}
 	margin := 1 - goodputMargin - wasteMargin*targets.WasteWeight
-	bound := int64(float64(target) * margin)
+	allowed := int64(float64(target) * margin)
 	if a.Deadline == 0 {
-		bound = max(bound, int64(float64(w.idle)*idleSlack))
+		allowed = max(allowed, int64(float64(w.idleNS)*idleLatencyFactor))
 	}
-	w.deadline = w.arrived + bound - onTheWay(a)
+	w.deadline = w.arrivedAt + allowed - messageTime(a)
 	return w
 }
 
-// tripsFromFar is how many round trips a request from another region makes: the
-// question and the grant, the request and its answer.
-const tripsFromFar = 2
+// remoteRoundTrips is the number of round trips of a request from another region: ask and
+// grant, request and answer.
+const remoteRoundTrips = 2
 
-// onTheWay is the time that the messages of a request from another region take.
-func onTheWay(a Ask) int64 { return tripsFromFar * int64(a.Travel) }
+// messageTime returns the time that messages of a request from another region take.
+func messageTime(a Ask) int64 { return remoteRoundTrips * int64(a.Travel) }
 
-// keptFromFar is the part of an engine's memory that requests from other regions
-// leave free: their decode comes some tens of milliseconds after the grant, and an
-// engine that is full by then has had a prompt read in vain.
-const keptFromFar = 0.04
+// remoteReserveShare is the share of an engine's memory that requests from other regions must
+// leave free. Their decode starts some tens of milliseconds after the grant, and if the engine
+// is full by then, the prefill was wasted.
+const remoteReserveShare = 0.04
 
-// keptRoom is the memory that an ask leaves free beside its own, in tokens.
-func (g *Group) keptRoom(a Ask) int {
+// remoteReserve returns the memory that an ask must leave free in addition to its own, in
+// tokens.
+func (g *Group) remoteReserve(a Ask) int {
 	if a.Travel <= 0 || !g.cfg.Growing {
 		return 0
 	}
-	most := 0
+	largest := 0
 	for i := range g.engines {
-		most = max(most, g.engines[i].spec.KVTokens)
+		largest = max(largest, g.engines[i].spec.KVTokens)
 	}
-	return int(keptFromFar * float64(most))
+	return int(remoteReserveShare * float64(largest))
 }
 
 const (
-	// goodputMargin is the part of the target kept for what is not estimated:
-	// round trips and the engine's own jitter.
+	// goodputMargin is the share of the target reserved for what is not estimated: round trips
+	// and the engine's own jitter.
 	goodputMargin = 0.05
-	// wasteMargin is the further part kept when wasted prefill counts.
+	// wasteMargin is the additional share reserved at a WasteWeight of 1.
 	wasteMargin = 0.10
 )
 
-// idleNS is the time to the first token when nothing else runs.
+// idleNS returns the time to the first token of an ask on an idle group.
 func (g *Group) idleNS(a Ask) int64 {
 	lowest := int64(0)
-	g.setCached(a)
+	g.markCached(a)
 	defer g.clearCached(a)
 	for i := range g.view.Engines {
 		v := &g.view.Engines[i]
@@ -93,17 +94,18 @@
 	return lowest
 }
 
-// pump starts what can start and drops what has become hopeless.
-func (g *Group) pump(now time.Time) []Decision {
+// startWaiting starts the requests that can start now and refuses those that can no longer meet
+// their deadline.
+func (g *Group) startWaiting(now time.Time) []Decision {
 	t := sinceStart(g.start, now)
-	out := g.fillOpen(t)
-	if g.stranded {
-		g.stranded = false
-		out = append(out, g.refuseStranded(t)...)
+	out := g.assignDecodeSlots(t)
+	if g.leavingChanged {
+		g.leavingChanged = false
+		out = append(out, g.refuseWithoutEngine(t)...)
 	}
-	out = g.dropHopeless(t, out)
+	out = g.refuseHopeless(t, out)
 	for len(g.waiting) > 0 {
-		d, ok := g.startOne(t)
+		d, ok := g.startNext(t)
 		if !ok {
 			break
 		}
@@ -112,23 +114,23 @@
 	return out
 }
 
-// startOne grants the first waiter in order that can start now.
-func (g *Group) startOne(t int64) (Decision, bool) {
+// startNext grants the first waiter in order that can start now.
+func (g *Group) startNext(t int64) (Decision, bool) {
 	last := float64(-1 << 62)
-	for range tries {
-		i, k := g.next(t, last)
+	for range maxPlacementTries {
+		i, k := g.nextWaiter(t, last)
 		if i == none {
 			return nil, false
 		}
 		last = k
 		w := g.waiting[i]
 		c, ok := g.place(t, w)
-		if !ok || w.late && g.othersWait() {
+		if !ok || w.late && g.onTimeWaiting() {
 			continue
 		}
 		late := t+c.FirstTokenNS > w.deadline
 		if late && !w.ask.Resume && !g.cfg.Policy.NoEarlyRefusal {
-			// Another engine may come free in time; dropHopeless ends the wait.
+			// Another engine may become free in time; otherwise refuseHopeless ends the wait.
 			continue
 		}
 		g.remove(i)
@@ -137,21 +139,22 @@
 	return nil, false
 }
 
-// place asks the pure decision for a choice, under this ask's own conditions.
+// place updates the view for one waiter and returns its placement, or false if it cannot start
+// now.
 func (g *Group) place(t int64, w *waiter) (Choice, bool) {
 	a := w.ask
-	g.setCached(a)
+	g.markCached(a)
 	defer g.clearCached(a)
-	g.setOut(t, a)
-	g.weighZones(t)
-	g.bind(t, w.idle)
+	g.updateAvailability(t, a)
+	g.updateZoneCosts(t)
+	g.chooseSlotTiming(t, w.idleNS)
 	if g.cfg.Growing {
 		g.forecastMemory(t, a)
 	}
 	need := Need{
 		PromptTokens: a.PromptTokens,
-		KVTokens:     a.PromptTokens + a.OutputTokens + g.keptRoom(a),
-		LeftNS:       float64(w.deadline - t),
+		KVTokens:     a.PromptTokens + a.OutputTokens + g.remoteReserve(a),
+		RemainingNS:  float64(w.deadline - t),
 	}
 	if i, ok := g.index[a.Kept]; ok && a.Kept != "" {
 		return PlaceKept(&g.view, t, need, i)
@@ -159,64 +162,64 @@
 	return Place(&g.view, t, need)
 }
 
-// slots counts the decode slots that are free now, and all there are.
+// slots returns the number of free decode slots and of all.
 func (g *Group) slots() (free, all int) {
 	for i := range g.view.Engines {
 		v := &g.view.Engines[i]
 		if v.Decode {
-			free += max(v.Cap-v.Held, 0)
-			all += max(v.Cap, 0)
+			free += max(v.MaxHeld-v.Held, 0)
+			all += max(v.MaxHeld, 0)
 		}
 	}
 	return free, all
 }
 
-// bind chooses how a request comes to its decode slot. While slots are
-// plentiful it takes one with its grant, which saves a message. When they are
-// scarce it gets one when its prefill is done, so that no slot stands idle
-// meanwhile; then as many prefills may be under way as slots are free or
-// expected to come free by the time they end, the fewer beyond the free ones
-// the more wasted prefill counts. Engines whose memory grows keep results too
-// short a time for that: there a slot always comes with the grant.
-func (g *Group) bind(t, idle int64) {
+// chooseSlotTiming decides when requests get their decode slot. While slots are plentiful a
+// request gets one with its grant, which saves a message. When they are scarce it gets one when
+// its prefill is done, so that no slot is idle meanwhile. Then the number of prefills in flight
+// is limited to the slots that are free or expected to become free by the time they end; the
+// more wasted prefill counts, the fewer beyond the free slots. Engines with growing memory keep
+// results for too short a time for that, so there a slot always comes with the grant.
+func (g *Group) chooseSlotTiming(t, idle int64) {
 	v := &g.view
-	v.Late, v.Book = false, false
+	v.DeferDecode, v.MayDefer = false, false
 	if g.cfg.Policy.NoJoint {
 		return
 	}
 	free, all := g.slots()
-	left := free - len(g.open)
-	v.Late = !g.cfg.Growing && float64(left) <= scarceShare*float64(all)
-	ahead := float64(idle + int64(bookAhead))
-	expected := g.releaseRate(t) * ahead * (1 - g.cfg.Targets.WasteWeight)
-	v.Book = float64(left)+expected >= 1
-	v.Recompute = !g.cfg.Policy.NoRecompute && left > 0
+	available := free - len(g.awaitingDecode)
+	v.DeferDecode = !g.cfg.Growing && float64(available) <= scarceShare*float64(all)
+	window := float64(idle + int64(maxSlotWait))
+	expected := g.releaseRate(t) * window * (1 - g.cfg.Targets.WasteWeight)
+	v.MayDefer = float64(available)+expected >= 1
+	v.Recompute = !g.cfg.Policy.NoRecompute && available > 0
 }
 
-// scarceShare is the part of all slots below which the free ones are scarce.
+// scarceShare is the share of free slots at or below which slots are scarce.
 const scarceShare = 0.25
 
-// bookAhead is how long a finished prefill may wait for its slot, well within
-// the few seconds that its result is kept.
-const bookAhead = 250 * time.Millisecond
+// maxSlotWait is how long a finished prefill may wait for its slot, well within the few seconds
+// that its result is kept.
+const maxSlotWait = 250 * time.Millisecond
 
-// setOut takes engines that are ejected, not for the ask, or held back out of the view.
-func (g *Group) setOut(t int64, a Ask) {
+// updateAvailability updates which engines the view offers to an ask: engines that are leaving,
+// ejected, full, changing their stage, excluded by the ask or at their limit are left out.
+func (g *Group) updateAvailability(t int64, a Ask) {
 	now := g.start.Add(time.Duration(t))
-	g.noteCold(t)
-	defer g.holdBack(t)
+	g.updateCold(t)
+	defer g.excludePaced(t)
 	for i := range g.engines {
 		e, v := &g.engines[i], &g.view.Engines[i]
-		out := e.leaves(t) || e.breaker.Out(now) || t < e.fullUntil || t < e.changingUntil || a.excludes(e.spec.Name)
-		v.Prefill = e.spec.Prefill && !out && !e.results.Out(now)
-		v.Decode = e.spec.Decode && !out
+		excluded := e.isLeaving(t) || e.breaker.Out(now) || t < e.fullUntil || t < e.changingUntil || a.excludes(e.spec.Name)
+		v.Prefill = e.spec.Prefill && !excluded && !e.resultBreaker.Out(now)
+		v.Decode = e.spec.Decode && !excluded
 		if v.Queued > 0 && v.FreeAt < t {
-			v.FreeAt = t + int64(overdue)
+			v.FreeAt = t + int64(overduePrefillRemaining)
 		}
 	}
 }
 
-func (g *Group) setCached(a Ask) {
+func (g *Group) markCached(a Ask) {
 	if g.cfg.Policy.NoPrefix {
 		return
 	}
--- a/state/schedule/result.go
+++ b/state/schedule/result.go
@@ -9,44 +9,43 @@
 	"runridge.example/runridge/state/health"
 )
 
-// An engine that turns a request away does not say whether it has no memory or
-// could not fetch the prefill result. Two engines that turn away the same
-// result speak against the result: else, while many engines lose theirs at once,
-// decode engines are held back for memory that they have (docs/large.md).
-
-// takeoverTime is for how long after the first request that it is told of a group takes an engine that
-// turns a request away for full, whatever else speaks against the result: an earlier
-// home may have granted what the engine holds, for as long as an answer takes. Without it
-// a home that takes over has all engines that prefill out in a moment.
+// An engine that rejects a request does not report whether it has no memory or could not fetch
+// the prefill result. If two engines reject the same result, the result is assumed to be lost.
+// Otherwise, while many engines lose their results at once, decode engines would be left out
+// for lack of memory that they have (docs/large.md).
+
+// takeoverTime is how long after its first request a group attributes every rejection to a full
+// engine, whatever else indicates a lost result: an earlier home may have granted what the
+// engine holds, for as long as an answer takes. Without it a home that takes over ejects all
+// prefill engines at once.
 const takeoverTime = 4 * time.Second
 
-// begin notes when the group is told of its first request, asked for or adopted.
-func (g *Group) begin(t int64) {
-	if !g.asked {
-		g.asked, g.begun = true, t
+// noteFirstRequest records the time of the group's first request, asked for or adopted.
+func (g *Group) noteFirstRequest(t int64) {
+	if !g.hadRequest {
+		g.hadRequest, g.firstRequestAt = true, t
 	}
 }
 
-// resultLost says whether a request that was turned away speaks against its
-// prefill result rather than against the engine that turned it away: another
-// one has turned the same result away before, or the result's engine has lost
-// others lately.
+// resultLost reports whether a rejection indicates a lost prefill result rather than a full
+// engine: another engine has rejected the same result before, or the engine of the result has
+// recently lost others.
 func (g *Group) resultLost(t int64, gr *grant) bool {
-	if gr.prefill == none || t-g.begun < int64(takeoverTime) {
+	if gr.prefill == none || t-g.firstRequestAt < int64(takeoverTime) {
 		return false
 	}
-	return gr.reuse || g.engines[gr.prefill].results.Suspect()
+	return gr.reuse || g.engines[gr.prefill].resultBreaker.Suspect()
 }
 
-// noteResultLost takes the engine whose result was lost out of prefilling for a
-// while, all of them if need be: decode engines read prompts too. Those that
-// turned the same result away before were not full.
+// noteResultLost ejects the engine whose result was lost from prefilling for a while. All
+// prefill engines may be ejected, because decode engines can prefill too. The engines that
+// rejected the same result before no longer count as full.
 func (g *Group) noteResultLost(now time.Time, gr *grant) {
 	for _, name := range gr.ask.Avoid {
 		if i, ok := g.index[name]; ok {
 			e := &g.engines[i]
-			e.fullUntil, e.unaccounted = 0, 0
-			e.memory.drop()
+			e.fullUntil, e.unaccountedTokens = 0, 0
+			e.memory.invalidate()
 		}
 	}
 	if g.cfg.Policy.NoEjection {
@@ -55,6 +54,6 @@
 	rules := g.cfg.Health
 	rules.Failures, rules.MaxOutShare = 1, 1
 	e := &g.engines[gr.prefill]
-	e.results = e.results.WithFailure(now, rules, health.Failure{Total: 1}, g.random)
-	g.ejections = append(g.ejections, Ejection{Engine: e.spec.Name, For: e.results.OutFor(now), ResultsLost: true})
+	e.resultBreaker = e.resultBreaker.WithFailure(now, rules, health.Failure{Total: 1}, g.random)
+	g.ejections = append(g.ejections, Ejection{Engine: e.spec.Name, For: e.resultBreaker.OutFor(now), ResultsLost: true})
 }
--- a/state/schedule/result_test.go
+++ b/state/schedule/result_test.go
@@ -13,12 +13,12 @@
 // resultGroup has two prefill engines, p and q, and two decode engines, a and b. It has
 // been asked for long enough that engines hold nothing of an earlier home.
 func resultGroup() *Group {
-	cfg := growing(2, 100_000).cfg
+	cfg := growingGroup(2, 100_000).cfg
 	second := cfg.Engines[0]
 	second.Name = "q"
 	cfg.Engines = append(cfg.Engines, second)
 	g := New(cfg, start)
-	g.begin(-int64(takeoverTime))
+	g.noteFirstRequest(-int64(takeoverTime))
 	return g
 }
 
@@ -80,22 +80,22 @@
 		convey.So(decode, convey.ShouldNotBeEmpty)
 		later = start.Add(2 * time.Second)
 		p := &g.engines[g.index["p"]]
-		convey.So(p.results.Out(later), convey.ShouldBeFalse)
+		convey.So(p.resultBreaker.Out(later), convey.ShouldBeFalse)
 		// It is under suspicion: one more lost result is enough.
 		a := askOf(11, 1000, 100)
 		g.grants[a.ID] = &grant{ask: a, prefill: g.index["p"], decode: g.index["a"], prefilled: true}
 		g.Done(later, Report{ID: a.ID, Failed: "a", Full: true})
-		convey.So(p.results.Out(later), convey.ShouldBeTrue)
+		convey.So(p.resultBreaker.Out(later), convey.ShouldBeTrue)
 	})
 	convey.Convey("An engine whose result was used is under suspicion no more", t, func() {
 		g := resultGroup()
 		prefill, first := turnAway(g, start, 1, 1, "")
 		turnAway(g, start, 1, 2, prefill, first)
 		i := g.index[prefill]
-		convey.So(g.engines[i].results.Suspect(), convey.ShouldBeTrue)
+		convey.So(g.engines[i].resultBreaker.Suspect(), convey.ShouldBeTrue)
 		a := askOf(2, 1000, 100)
 		g.grants[a.ID] = &grant{ask: a, prefill: i, decode: g.index["a"], prefilled: true}
 		g.Done(start, Report{ID: a.ID, Finished: true})
-		convey.So(g.engines[i].results.Suspect(), convey.ShouldBeFalse)
+		convey.So(g.engines[i].resultBreaker.Suspect(), convey.ShouldBeFalse)
 	})
 }
--- a/state/schedule/stage_test.go
+++ b/state/schedule/stage_test.go
@@ -26,10 +26,10 @@
 	return cfg
 }
 
-// asked has a group asked for prompts that are work for 1.2 engines, for some seconds.
+// offerPromptWork has a group asked for prompts that are work for 1.2 engines, for some seconds.
 // Their answers take the others as long as three of the group's 13 engines need for the
 // prompts.
-func asked(g *Group, at time.Time, seconds int) time.Time {
+func offerPromptWork(g *Group, at time.Time, seconds int) time.Time {
 	const prompt, each = 3000, 12
 	for i := range seconds * each {
 		at = at.Add(time.Second / each)
@@ -48,7 +48,7 @@
 	convey.Convey("A group tells its prompt work, and counts an engine by the stage that it changes to", t, func() {
 		start := time.Unix(0, 0)
 		g := New(stageConfig(5, 13), start)
-		now := asked(g, start, 10)
+		now := offerPromptWork(g, start, 10)
 		engines, load := g.Stages(now)
 		convey.So(load.Mean, convey.ShouldAlmostEqual, 1.2, 0.2)
 		p := stages.Make(engines, load, stages.Config{})
@@ -89,7 +89,7 @@
 			cfg := stageConfig(3, 13)
 			leave(&cfg, "e0", "e1", "e2")
 			g := New(cfg, start)
-			now := asked(g, start, 10)
+			now := offerPromptWork(g, start, 10)
 			engines, load := g.Stages(now)
 			convey.So(engines, convey.ShouldHaveLength, 10)
 			convey.So(stages.Make(engines, load, stages.Config{}).ToPrefill, convey.ShouldHaveLength, 1)
--- a/state/schedule/types.go
+++ b/state/schedule/types.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package schedule decides, for one group of engines that serve one service,
-// which waiting request starts next, where its prefill runs, where its decode
-// continues, whether the result is moved or recomputed, and what is refused.
-// It does no I/O and takes the time as an argument; one goroutine owns a Group.
+// Package schedule decides, for one group of engines that serve one service, which waiting
+// request starts next, on which engines its prefill and decode run, whether the prefill result
+// is transferred or recomputed, and which requests are refused. It does no I/O and takes the
+// time as an argument; a Group must be used by a single goroutine.
 package schedule
 
 import (
@@ -16,26 +16,26 @@
 	"runridge.example/runridge/state/pace"
 )
 
-// Policy chooses between the scheduler and the baselines it is measured
-// against, and switches single decisions off to show what each is worth.
+// Policy selects the scheduler or one of the baselines that it is compared with, and disables
+// single decisions to measure what each contributes.
 type Policy struct {
 	// Name is one of the Policy constants; empty means PolicyRunridge.
 	Name string `json:"name,omitempty"`
-	// NoJoint starts a prefill without looking at decode slots.
+	// NoJoint starts a prefill without checking for a decode slot.
 	NoJoint bool `json:"no_joint,omitempty"`
 	// NoPrefix ignores the prefix index.
 	NoPrefix bool `json:"no_prefix,omitempty"`
-	// NoOrder serves waiting requests first come first served.
+	// NoOrder serves waiting requests in the order of arrival.
 	NoOrder bool `json:"no_order,omitempty"`
-	// NoRecompute always moves.
+	// NoRecompute always transfers the prefill result and never prefills on a decode engine.
 	NoRecompute bool `json:"no_recompute,omitempty"`
-	// NoEarlyRefusal lets hopeless requests wait and run.
+	// NoEarlyRefusal queues and runs requests that will miss their deadline.
 	NoEarlyRefusal bool `json:"no_early_refusal,omitempty"`
-	// NoEjection keeps sending work to sick engines.
+	// NoEjection keeps sending requests to failing engines.
 	NoEjection bool `json:"no_ejection,omitempty"`
-	// NoBatchTarget fills engines to their slots, whatever the step time.
+	// NoBatchTarget fills engines up to their slots, regardless of the step time.
 	NoBatchTarget bool `json:"no_batch_target,omitempty"`
-	// NoLearning keeps to the table's rates.
+	// NoLearning uses the rates of the table and ignores measured ones.
 	NoLearning bool `json:"no_learning,omitempty"`
 }
 
@@ -46,213 +46,213 @@
 	PolicyLeastOutstanding = "least_outstanding"
 )
 
-// Baseline says whether the policy is one of the two simple ones.
+// Baseline reports whether the policy is one of the two baselines.
 func (p Policy) Baseline() bool {
 	return p.Name == PolicyRoundRobin || p.Name == PolicyLeastOutstanding
 }
 
-// EngineSpec is what the table says of an engine.
+// EngineSpec is the table's description of an engine.
 type EngineSpec struct {
 	Name    string
 	Zone    string
 	Prefill bool
 	Decode  bool
-	// Slots is how many requests the engine may hold.
+	// Slots is the maximum number of requests on the engine.
 	Slots int
-	// KVTokens is its memory for KV cache, in tokens.
+	// KVTokens is the engine's memory for KV cache, in tokens.
 	KVTokens int
 	// PrefillRate is in tokens per second.
 	PrefillRate float64
-	// StepBase and StepPer give a decode step's time: base + per request.
+	// StepBase and StepPer give the time of a decode step: base plus per request in the batch.
 	StepBase, StepPer time.Duration
-	// KVBytesPerToken is the size of a token's KV cache on a link.
+	// KVBytesPerToken is the number of bytes transferred for the KV cache of one token.
 	KVBytesPerToken int
 	Leaving         bool
-	// Weight is its zone's weight in the row; 0 counts as 1.
+	// Weight is the weight of the engine's zone in the row; 0 means 1.
 	Weight int
-	// ColdUntil is until when the engine is cold; zero is not.
+	// ColdUntil is the time until which the engine is cold; the zero time means it is not.
 	ColdUntil time.Time
-	// SharedBy is how many services share the engine, each with a home of its own; 0
-	// counts as 1.
+	// SharedBy is the number of services that share the engine, each with a home of its own; 0
+	// means 1.
 	SharedBy int
 }
 
-// Targets are a service's aims and bounds.
+// Targets are the latency targets of a service, and how it weighs wasted prefill.
 type Targets struct {
 	FirstToken      time.Duration
 	FirstTokenPer1K time.Duration
 	PerToken        time.Duration
-	// WasteWeight is 0 for goodput alone, 1 for wasted prefill above all.
+	// WasteWeight is between 0 (only goodput counts) and 1 (avoid wasted prefill first of all).
 	WasteWeight float64
 }
 
-// Config is all that a group needs to know.
+// Config configures a group.
 type Config struct {
 	Targets Targets
 	Engines []EngineSpec
-	// LinkRate gives bytes per second between two zones; 0 is no known limit.
+	// LinkRate returns the bytes per second between two zones; 0 means no known limit.
 	LinkRate func(from, to string) int64
-	// AccountWeight gives an account's share; nil or 0 means 1.
+	// AccountWeight returns an account's weight in fair sharing; nil or 0 means 1.
 	AccountWeight func(account string) int
-	// AccountLimit bounds an account's grants at once; nil or 0 is no bound.
+	// AccountLimit returns the maximum number of concurrent grants of an account; nil or 0
+	// means no limit.
 	AccountLimit func(account string) int
-	// MaxWaiting bounds the queue.
+	// MaxWaiting is the maximum length of the queue; 0 means the default.
 	MaxWaiting int
-	// PrefixMarks bounds the prefix index.
+	// PrefixMarks is the maximum size of the prefix index; 0 means the default.
 	PrefixMarks int
 	Policy      Policy
 	Health      health.Config
-	// Seed makes jitter repeatable.
+	// Seed seeds the random jitter, so that runs are repeatable.
 	Seed uint64
-	// Growing says that a request's memory grows with its answer, whose length
-	// is a guess, and that an engine that runs out puts requests back. Without
-	// it an engine sets all of a request's memory aside when it begins.
+	// Growing is true if the memory of a request grows with its answer, whose length can only
+	// be estimated, and an engine that runs out of memory puts requests back. Otherwise an
+	// engine reserves all memory of a request when it starts.
 	Growing bool
-	// Plain says that a request has no prompt and no tokens: it holds a slot for a
-	// time that is learnt, and its target is for the whole answer.
+	// Plain is true if requests have no prompt and no tokens: each holds a slot for a time that
+	// is learned, and its target covers the whole answer.
 	Plain bool
-	// ColdLimit is how many requests a cold engine may be granted in a span of
-	// state/pace, at a time; nil is no bound.
+	// ColdLimit returns the maximum number of requests that a cold engine may be granted in one
+	// pace.Span; nil means no limit.
 	ColdLimit func(now time.Time) int
-	// LimitShare is the part, 0 to 1, of the limits that engines name which this group may
-	// grant at a time; nil is all.
+	// LimitShare returns the share, 0 to 1, that this group may grant of the limits that
+	// engines announce; nil means all.
 	LimitShare func(now time.Time) float64
-	// Paced is what cold engines were granted by groups of this home lately, by name.
+	// Paced has what groups of this home granted to cold engines recently, by engine name.
 	Paced map[string]pace.Window
-	// Cautious is for a group that takes over from a home it knows nothing of:
-	// an engine gets at most half its cap until it has reported once.
+	// Cautious is set for a group that takes over from a home whose grants are unknown: an
+	// engine gets at most half its maximum batch until its first load report.
 	Cautious bool
 }
 
-// Ask is one request for a plan.
+// Ask is a box's request for a plan for one attempt.
 type Ask struct {
 	ID lifecycle.AttemptID
-	// Box is where the answer goes.
+	// Box is the box that receives the decision.
 	Box     string
 	Account string
-	// Priority: higher goes first.
+	// Priority puts requests with a higher value first.
 	Priority int
-	// PromptTokens is the estimated length of what has to be prefilled.
+	// PromptTokens is the estimated number of tokens to prefill.
 	PromptTokens int
-	// OutputTokens is the most that may be generated.
+	// OutputTokens is the maximum number of tokens to generate.
 	OutputTokens int
-	// Marks and MarkTokens give the prompt's prefixes, the shortest first.
+	// Marks are the hashes of the prompt's prefixes and MarkTokens their lengths in tokens,
+	// shortest first.
 	Marks      []uint64
 	MarkTokens []int
-	// Waited is how long the request has been under way before this ask.
+	// Waited is the time since the request arrived, when this ask was sent.
 	Waited time.Duration
-	// Deadline is the caller's own bound for the first token, from its
-	// arrival; 0 means the service's target.
+	// Deadline is the caller's own limit for the first token, counted from the arrival of the
+	// request; 0 means the service's target.
 	Deadline time.Duration
-	// Resume is true when part of the work is done: the caller has some of the
-	// answer, or a prefill result is kept. Such a request is not refused for
-	// being late.
+	// Resume is true if part of the work is done: the caller has received part of the answer,
+	// or a prefill result is kept. Such a request is not refused for being late.
 	Resume bool
-	// Avoid names engines that just failed this request.
+	// Avoid names engines on which this request just failed.
 	Avoid []string
-	// Barred names engines that the asking box may not send to for now, whatever the
-	// request; Leaving are those of them that told it that they leave.
+	// Barred names engines to which the asking box must not send any request for now. Leaving
+	// names those of them that have announced to it that they are leaving.
 	Barred, Leaving []string
-	// Kept is the engine that still keeps the request's prefill result.
+	// Kept is the engine that keeps the request's prefill result; empty if there is none.
 	Kept string
-	// Patience is the longest wait that the caller accepts if it is refused
-	// and told when to come again; 0 is not known.
+	// Patience is the longest Retry-After time that the caller accepts if it is refused; 0
+	// means unknown.
 	Patience time.Duration
-	// Spill is true when the group that the request belongs to has refused it:
-	// this one grants it at once, or refuses and books no time to come back.
+	// Spill is true if the request's own group refused it: this group grants it at once or
+	// refuses it, and reserves no time to retry.
 	Spill bool
-	// Late is true when the request cannot meet its target any more, whoever
-	// serves it: it takes what is left by those that can, and is refused at once
-	// if that will not be enough.
+	// Late is true if the request can no longer meet its target on any engine. It only gets
+	// capacity that requests in time leave free, and is refused at once if that will not be
+	// enough.
 	Late bool
-	// GiveUp is how long the caller of a late request waits for the first token,
-	// from now on.
+	// GiveUp is how much longer the caller of a late request waits for the first token.
 	GiveUp time.Duration
-	// Travel is how long a message from the asking box to the group's region and its
-	// answer take, where that is another region; 0 is the same one.
+	// Travel is the round-trip time between the asking box and the region of the group, if that
+	// is another region; 0 means the same region.
 	Travel time.Duration
-	// Limits are what the asking box knows of limits that engines of the group name.
+	// Limits are the limits of engines of this group that the asking box knows of.
 	Limits []EngineLimit
 }
 
-// excludes says whether an engine must not be chosen for the ask.
+// excludes reports whether the engine must not be chosen for the ask.
 func (a Ask) excludes(engine string) bool {
 	return slices.Contains(a.Avoid, engine) || slices.Contains(a.Barred, engine)
 }
 
-// EngineLimit is what is known of the limit of an engine.
+// EngineLimit is a limit that an engine announced.
 type EngineLimit struct {
 	Engine string
 	Limit  pace.Limit
-	// Age is how long ago the engine said so.
+	// Age is the time since the engine announced the limit.
 	Age time.Duration
 }
 
-// Decision is what the group says about an ask. Exactly one of the types
-// below.
+// Decision is the group's answer to an ask: a Grant, Refuse, Slot or Queued.
 type Decision interface{ decision() }
 
-// Grant admits an ask.
+// Grant admits a request with a plan.
 type Grant struct {
 	Ask  Ask
 	Plan lifecycle.Plan
-	// FirstToken is the estimate from now on.
+	// FirstToken is the estimated time from the grant to the first token.
 	FirstToken time.Duration
-	// Move is the estimate for the transfer alone, from when it may begin; 0
-	// is not known.
+	// Move is the estimated time of the transfer alone, from when it can begin; 0 means
+	// unknown.
 	Move time.Duration
-	// PacedPrefill and PacedDecode say that the engine is cold or names a limit and that
-	// the request was counted for it: it is to be sent soon, or not at all.
+	// PacedPrefill and PacedDecode report that the engine is cold or has a limit, and that the
+	// request counts against it: it has to be sent soon or not at all.
 	PacedPrefill, PacedDecode bool
-	// Limits are those that the plan's engines name, and those of which the group knows
-	// something newer than the ask told.
+	// Limits are the limits of the plan's engines, and those for which the group has newer
+	// information than the ask.
 	Limits []EngineLimit
-	// Held is how long the ask was here before it was granted.
+	// Held is the time from the ask to the grant.
 	Held time.Duration
 }
 
-// Refuse turns an ask away; nothing ran.
+// Refuse rejects a request of which nothing ran.
 type Refuse struct {
 	Ask        Ask
 	Reason     lifecycle.Reason
 	RetryAfter time.Duration
-	// Seen is what decided it.
+	// Seen has the figures on which the refusal is based.
 	Seen Inputs
 }
 
 // Inputs are the figures behind a refusal, for the log.
 type Inputs struct {
-	// Waiting and Granted are the asks in the queue and under way.
+	// Waiting is the number of requests in the queue and Granted the number in flight.
 	Waiting, Granted int
-	// FreeSlots is the number of decode slots free.
+	// FreeSlots is the number of free decode slots.
 	FreeSlots int
-	// Idle is the time to the first token on an idle system and Wait the
-	// expected time before the prefill begins.
+	// Idle is the time to the first token on an idle group, and Wait the expected wait before
+	// the prefill begins.
 	Idle, Wait time.Duration
-	// Left is the time to the deadline.
+	// Left is the time remaining until the deadline.
 	Left time.Duration
-	// Paced is the number of engines left out since they were granted what they bear while
-	// cold, or what they name as their limit; Limited are the latter.
+	// Paced is the number of engines left out because they have reached their limit, either as
+	// cold engines or the limit that they announce. Limited counts only the latter.
 	Paced, Limited int
 }
 
-// Slot names the decode engine of a grant that left it open.
+// Slot assigns the decode engine of a grant that was made without one.
 type Slot struct {
 	Ask    Ask
 	Decode string
-	// Move is the estimate for the transfer.
+	// Move is the estimated time of the transfer.
 	Move time.Duration
-	// Paced says that the request was counted for the engine, as PacedDecode does.
+	// Paced reports that the request counts against the engine's limit, as in
+	// Grant.PacedDecode.
 	Paced  bool
 	Limits []EngineLimit
 }
 
-// Queued says that an ask waits; its decision follows.
+// Queued reports that the request waits; a Grant or Refuse follows.
 type Queued struct {
 	Ask Ask
 }
 
-// Asked is the ask that a decision is about.
+// Asked returns the ask that a decision answers.
 func Asked(d Decision) Ask {
 	switch d := d.(type) {
 	case Grant:
@@ -273,52 +273,52 @@
 func (Refuse) decision() {}
 func (Slot) decision()   {}
 
-// Adopted is a grant that an earlier home made, told by the box that has it.
+// Adopted is a grant of an earlier home, as reported by the box that runs it.
 type Adopted struct {
 	Ask       Ask
 	Plan      lifecycle.Plan
 	Prefilled bool
 }
 
-// Report is what a box tells when an attempt is over.
+// Report is a box's report on a finished or failed attempt.
 type Report struct {
 	ID       lifecycle.AttemptID
 	Finished bool
-	// Failed names the engine that failed, if one did.
+	// Failed is the engine that failed, or empty.
 	Failed string
-	// Running says that the failed engine may work on the attempt still: its
-	// answer was lost, or its connection broke.
+	// Running is true if the failed engine may still be working on the attempt: its answer was
+	// lost or its connection broke.
 	Running bool
-	// Full says that the failed engine turned the attempt away for want of room.
+	// Full is true if the failed engine rejected the attempt for lack of capacity.
 	Full bool
-	// Unreached says that the failed engine could not be connected to at all.
+	// Unreached is true if no connection to the failed engine could be made.
 	Unreached bool
-	// Answered says that the failed engine answered, with an error of its own.
+	// Answered is true if the failed engine answered with an error of its own.
 	Answered bool
-	// Steps and StepTime are the number of gaps between tokens and their sum.
+	// Steps is the number of gaps between tokens, and StepTime their sum.
 	Steps    int
 	StepTime time.Duration
-	// MoveTime is how long the transfer took; 0 if there was none.
+	// MoveTime is the time of the transfer; 0 if there was none.
 	MoveTime time.Duration
 }
 
-// Ejection tells that a sick engine gets no work for a while.
+// Ejection reports that a failing engine gets no requests for a while.
 type Ejection struct {
 	Engine string
 	For    time.Duration
-	// Unreached says that no connection to it could be made.
+	// Unreached is true if no connection to the engine could be made.
 	Unreached bool
-	// ResultsLost says that it only gets no prefills, as its results were lost.
+	// ResultsLost is true if the engine only gets no prefills, because its results were lost.
 	ResultsLost bool
-	// OthersOut is how many of the Others of its role were out already.
+	// OthersOut is how many of the Others, the other engines of its role, were ejected already.
 	OthersOut, Others int
 }
 
-// Load is an engine's own, late word on what it holds.
+// Load is an engine's own report of its load; it arrives with a delay.
 type Load struct {
 	Engine string
 	// Held is the number of decode slots in use.
 	Held int
-	// KVTokens is the memory in use, in tokens.
+	// KVTokens is the memory in use for KV cache, in tokens.
 	KVTokens int
 }
--- a/state/schedule/zones.go
+++ b/state/schedule/zones.go
@@ -3,13 +3,13 @@
 
 package schedule
 
-// zonePull is how strongly the weights pull, as a part of the first-token
-// target: a zone at twice its share stands as if it were that much slower.
-// Weights steer; they do not stop a request that only one zone can serve.
-const zonePull = 0.25
+// zoneCostWeight is the penalty of a zone at twice its share or more, as a fraction of the
+// first-token target. It steers placement but does not stop a request that only one zone can
+// serve.
+const zoneCostWeight = 0.25
 
-// useZones notes the zones of a grant.
-func (g *Group) useZones(t int64, gr *grant) {
+// recordZoneUse counts a grant for the zones of its engines.
+func (g *Group) recordZoneUse(t int64, gr *grant) {
 	for _, i := range []int{gr.prefill, gr.decode} {
 		if i != none {
 			z := g.view.Engines[i].Zone
@@ -18,9 +18,9 @@
 	}
 }
 
-// weighZones works out what choosing each zone costs: nothing up to its share
-// by weight of what was granted lately, and more the further above it is.
-func (g *Group) weighZones(t int64) {
+// updateZoneCosts updates the penalty of each zone: 0 up to its share by weight of recent
+// grants, and growing with the excess above it.
+func (g *Group) updateZoneCosts(t int64) {
 	used := 0.0
 	for z := range g.zoneUse {
 		used += g.zoneUse[z].value(t, usageHalfLife)
@@ -31,13 +31,13 @@
 			continue
 		}
 		excess := g.zoneUse[z].value(t, usageHalfLife)/used/g.zoneShare[z] - 1
-		g.view.ZoneNS[z] = min(max(excess, 0), 1) * zonePull * float64(g.cfg.Targets.FirstToken)
+		g.view.ZoneNS[z] = min(max(excess, 0), 1) * zoneCostWeight * float64(g.cfg.Targets.FirstToken)
 	}
 }
 
-// shareZones works out each zone's share from its weight. A zone's engines all
-// have its weight.
-func (g *Group) shareZones() {
+// updateZoneShares computes each zone's share from its weight. All engines of a zone have the
+// same weight.
+func (g *Group) updateZoneShares() {
 	g.zoneShare = make([]float64, len(g.zones))
 	total := 0.0
 	for i := range g.engines {
--- a/tests/mutants/cold.go
+++ b/tests/mutants/cold.go
@@ -60,27 +60,27 @@
 	},
 	{
 		name: "decode_of_cold_engines_not_counted", file: schedulePaceFile, pkg: scheduleTests, args: only("TestOraclePace"),
-		old: "		e.paced = e.paced.WithOpen(time.Duration(gr.granted))\n	}\n}", fault: "		_ = pace.Window{}\n	}\n}",
+		old: "		e.pacedWindow = e.pacedWindow.WithOpen(time.Duration(gr.grantedAt))\n	}\n}", fault: "		_ = pace.Window{}\n	}\n}",
 	},
 	{
 		name: "withdrawn_requests_count_no_more", file: schedulePaceFile, pkg: scheduleTests, args: only("TestOraclePace"),
-		old: "	if gr, ok := g.grants[id]; ok {\n		gr.openDecode = false\n", fault: "	if gr, ok := g.grants[id]; ok {\n		g.paceDone(gr.granted, gr)\n",
+		old: "	if gr, ok := g.grants[id]; ok {\n		gr.decodeUnsent = false\n", fault: "	if gr, ok := g.grants[id]; ok {\n		g.noteDecodeSent(gr.grantedAt, gr)\n",
 	},
 	{
 		name: "cold_speed_learnt_for_warm_engines", file: schedulePaceFile, pkg: scheduleTests, args: only("TestColdSpeed"),
-		old: "	if e.warm.prefill.Seen() > 0 {\n", fault: "	if false {\n",
+		old: "	if e.warmSpeed.prefill.Seen() > 0 {\n", fault: "	if false {\n",
 	},
 	{
 		name: "new_engines_forget_what_they_learnt", file: schedulePaceFile, pkg: scheduleTests, args: only("TestColdSpeed"),
-		old: "	if e.warm.step.Seen() > 0 {\n", fault: "	if true {\n",
+		old: "	if e.warmSpeed.step.Seen() > 0 {\n", fault: "	if true {\n",
 	},
 	{
 		name: "earlier_grants_not_counted", file: schedulePaceFile, pkg: scheduleTests, args: only("TestEarlierGrantsCountForAnEngineThatTurnsCold"),
-		old: "			g.seedPace(t, i)\n", fault: "",
+		old: "			g.seedPacedWindow(t, i)\n", fault: "",
 	},
 	{
 		name: "pace_not_in_the_forecast", file: refuseFile, pkg: scheduleTests, args: only("TestRefusalForPaceIsTrue"),
-		old: "return max(g.roomWaitNS(w, t), g.paceWaitNS(w, t))", fault: "return g.roomWaitNS(w, t)",
+		old: "return max(g.capacityWaitNS(w, t), g.paceWaitNS(w, t))", fault: "return g.capacityWaitNS(w, t)",
 	},
 	{
 		name: "each_word_extends_a_cold_spell", file: coldWordFile, pkg: "./state/directory", args: only("TestColdEnd"),
--- a/tests/mutants/limit.go
+++ b/tests/mutants/limit.go
@@ -29,11 +29,11 @@
 	},
 	{
 		name: "limited_engines_not_held_back", file: schedulePaceFile, pkg: scheduleTests, args: only("TestLimitedEngines"),
-		old: " || e.limit.spent()", fault: "",
+		old: " || e.limit.exhausted()", fault: "",
 	},
 	{
 		name: "older_word_on_a_limit_counts", file: scheduleLimitFile, pkg: scheduleTests, args: only("TestNewestWordOnALimit"),
-		old: "if e.limit.known && seen <= e.limit.seen {", fault: "if false {",
+		old: "if e.limit.known && seen <= e.limit.seenAt {", fault: "if false {",
 	},
 	{
 		name: "shared_engine_granted_whole_by_each", file: scheduleLimitFile, pkg: scheduleTests, args: only("TestLimitedEngines"),
@@ -41,7 +41,7 @@
 	},
 	{
 		name: "open_grants_wait_for_an_ask", file: "state/schedule/group.go", pkg: homeTests, args: only("TestOpenGrantsAreLookedAt"),
-		old: "return len(g.waiting) + len(g.open)", fault: "return len(g.waiting)",
+		old: "return len(g.waiting) + len(g.awaitingDecode)", fault: "return len(g.waiting)",
 	},
 	{
 		name: "turned_away_shows_no_limit", file: limitKeeperFile, pkg: limitTests, args: only("TestAnswers"),
--- a/tests/mutants/routed.go
+++ b/tests/mutants/routed.go
@@ -124,7 +124,7 @@
 	},
 	{
 		name: "full_engine_offered", file: memoryFile, pkg: "./state/schedule", args: only("TestFullEngine"),
-		old: "	e.unaccounted = e.unaccountedAt(t) + max(", fault: "	e.unaccounted = 0 * max(",
+		old: "	e.unaccountedTokens = e.unaccountedTokensAt(t) + max(", fault: "	e.unaccountedTokens = 0 * max(",
 	},
 	{
 		name: "plain_caller_gone_unseen", file: "transport/callerhttp/gone.go", pkg: "./transport/callerhttp", args: []string{"-run=^TestGoneWatch$", "-timeout=10s"},
@@ -136,10 +136,10 @@
 	},
 	{
 		name: "memory_without_growth", file: forecastFile, pkg: "./state/schedule", args: only("TestOracleForecast"),
-		old: "			held += further\n", fault: "",
+		old: "			held += growth\n", fault: "",
 	},
 	{
 		name: "memory_without_chance", file: forecastFile, pkg: "./state/schedule", args: only("TestOracleRisk"),
-		old: "f.mean[k]+risk*math.Sqrt(f.variance[k])", fault: "f.mean[k]+0*math.Sqrt(f.variance[k])",
+		old: "f.mean[k]+riskDeviations*math.Sqrt(f.variance[k])", fault: "f.mean[k]+0*math.Sqrt(f.variance[k])",
 	},
 }
--- a/tests/mutants/shared.go
+++ b/tests/mutants/shared.go
@@ -45,7 +45,7 @@
 	},
 	{
 		name: "late_requests_before_others", file: "state/schedule/order.go", pkg: scheduleTests, args: only("TestLateBehindOthers"),
-		old: "		key += float64(lateStep)\n", fault: "		key -= float64(lateStep)\n",
+		old: "		key += float64(lateOffset)\n", fault: "		key -= float64(lateOffset)\n",
 	},
 	{
 		name: "late_requests_held_in_overload", file: lateFile, pkg: scheduleTests, args: only("TestLateRequests"),
@@ -53,7 +53,7 @@
 	},
 	{
 		name: "late_requests_held_for_too_long", file: lateFile, pkg: scheduleTests, args: only("TestLateRequests"),
-		old: "return wait, t+wait+w.idle <= w.deadline", fault: "return wait, true",
+		old: "return wait, t+wait+w.idleNS <= w.deadline", fault: "return wait, true",
 	},
 	{
 		name: "late_requests_count_as_new", file: groupFile, pkg: scheduleTests, args: only("TestLateBehindOthers"),
@@ -61,15 +61,15 @@
 	},
 	{
 		name: "plain_requests_take_no_time", file: queueFile, pkg: scheduleTests, args: only("TestPlainRequestsInTime"),
-		old: "w.idle = int64(g.serviceNS)", fault: "w.idle = 0",
+		old: "w.idleNS = int64(g.serviceNS)", fault: "w.idleNS = 0",
 	},
 	{
 		name: "lost_result_speaks_against_the_decoder", file: "state/schedule/result.go", pkg: scheduleTests, args: only("TestLostResults"),
-		old: "return gr.reuse || g.engines[gr.prefill].results.Suspect()", fault: "return false",
+		old: "return gr.reuse || g.engines[gr.prefill].resultBreaker.Suspect()", fault: "return false",
 	},
 	{
 		name: "lost_result_leaves_engines_full", file: "state/schedule/result.go", pkg: scheduleTests, args: only("TestLostResults"),
-		old: "e.fullUntil, e.unaccounted = 0, 0", fault: "_, _ = e.fullUntil, e.unaccounted",
+		old: "e.fullUntil, e.unaccountedTokens = 0, 0", fault: "_, _ = e.fullUntil, e.unaccountedTokens",
 	},
 	{
 		name: "callers_who_return_count_as_new", file: "coordination/relay/relay.go", pkg: "./coordination/relay", args: only("TestAgeOfReturningCallers"),
@@ -93,12 +93,12 @@
 	},
 	{
 		name: "prefill_without_slot", file: queueFile, pkg: scheduleTests, args: only("TestNoPrefillWithoutSlot"),
-		old: "v.Late = !g.cfg.Growing && ", fault: "v.Late = ",
+		old: "v.DeferDecode = !g.cfg.Growing && ", fault: "v.DeferDecode = ",
 	},
 	{
 		name: "refused_by_own_length", file: memoryFile, pkg: scheduleTests, args: only("TestNoLengthStarves"),
-		old:   "forecast{}.with(g.usual.atMost(a), ",
-		fault: "forecast{}.with(load{held: a.PromptTokens, guess: a.OutputTokens}, ",
+		old:   "forecast{}.with(g.meanAsk.atMost(a), ",
+		fault: "forecast{}.with(requestMemory{heldTokens: a.PromptTokens, expectedOutput: a.OutputTokens}, ",
 	},
 	{
 		name: "grants_of_earlier_process_kept", file: groupFile, pkg: scheduleTests, args: only("TestDropBefore"),
