--- a/state/schedule/forecast_test.go
+++ b/state/schedule/forecast_test.go
@@ -16,8 +16,8 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// drawOutputLengths are the answers' lengths of one play of some loads, drawn anew
-// until each is longer than what there is of it.
+// drawOutputLengths draws the output length of each request for one simulation, repeating the
+// draw until it exceeds what the request has generated.
 func drawOutputLengths(random *rand.Rand, loads []requestMemory, spread float64) []float64 {
 	out := make([]float64, len(loads))
 	for i, l := range loads {
@@ -28,7 +28,8 @@
 	return out
 }
 
-// simulatedMemory is the memory that the loads take some steps on, by their lengths.
+// simulatedMemory returns the memory of the requests after some steps, given their output
+// lengths.
 func simulatedMemory(loads []requestMemory, lengths []float64, steps float64) float64 {
 	held := 0.0
 	for i, l := range loads {
@@ -49,8 +50,8 @@
 	return out
 }
 
-// simulations is the number of plays of one drawn set of loads; the tolerances below
-// are several standard errors wide.
+// simulations is the number of simulations per set of requests; the tolerances below are
+// several standard errors wide.
 const simulations = 2000
 
 func TestOracleForecast(t *testing.T) {
@@ -77,19 +78,19 @@
 			mean := sums[k] / simulations
 			deviation := math.Sqrt(max(squares[k]/simulations-mean*mean, 0))
 			if math.Abs(mean-f.mean[k]) > 0.05*largest {
-				t.Fatalf("moment %d: mean %.0f, played %.0f", k, f.mean[k], mean)
+				t.Fatalf("point %d: mean %.0f, simulated %.0f", k, f.mean[k], mean)
 			}
 			if math.Abs(deviation-math.Sqrt(f.variance[k])) > 0.05*largest {
-				t.Fatalf("moment %d: deviation %.0f, played %.0f", k, math.Sqrt(f.variance[k]), deviation)
+				t.Fatalf("point %d: deviation %.0f, simulated %.0f", k, math.Sqrt(f.variance[k]), deviation)
 			}
 		}
 	})
 }
 
 func TestOracleRisk(t *testing.T) {
-	// An engine that is filled up to the forecast's peak overflows rarely. The
-	// plays look at each step's memory, not only at the forecast's moments.
-	const spread, rarely = 0.5, 0.12
+	// An engine filled up to the forecast's peak rarely overflows. The simulations check the
+	// memory at many steps, not only at the points of the forecast.
+	const spread, maxOverflowShare = 0.5, 0.12
 	cases := map[string]struct {
 		memory, prompt, guess int
 	}{
@@ -124,12 +125,12 @@
 					}
 				}
 			}
-			t.Logf("%d of %d overflowed, filled to %.2f", overflows, sets, fills/float64(sets))
-			if float64(overflows) > rarely*float64(sets) {
+			t.Logf("%d of %d sets overflowed, filled to %.2f on average", overflows, sets, fills/float64(sets))
+			if float64(overflows) > maxOverflowShare*float64(sets) {
 				t.Errorf("%d of %d sets overflowed", overflows, sets)
 			}
 			if fills/float64(sets) < 0.6 {
-				t.Errorf("filled to %.2f only", fills/float64(sets))
+				t.Errorf("filled to only %.2f on average", fills/float64(sets))
 			}
 		})
 	}
@@ -150,9 +151,9 @@
 		now      bool
 		never    bool
 	}{
-		"an empty engine has room now":            {requests: 0, now: true},
-		"a full one has room in a while":          {requests: 11},
-		"one that is overfull beyond the horizon": {requests: 60, never: true},
+		"empty engine":       {requests: 0, now: true},
+		"full engine":        {requests: 11},
+		"far more than fits": {requests: 60, never: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -160,24 +161,24 @@
 			steps := f.stepsUntilFits(&further, usual, 41_000)
 			switch {
 			case c.now && steps != 0, c.never && steps >= 0, !c.now && !c.never && (steps <= 0 || steps > usual):
-				t.Errorf("%.0f steps", steps)
+				t.Errorf("got %.0f steps until the request fits", steps)
 			}
 		})
 	}
 }
 
 func TestWaitBeyondTheForecast(t *testing.T) {
-	convey.Convey("A request is not kept waiting for an engine that has no room as far as the forecast reaches", t, func() {
+	convey.Convey("A request does not wait if no engine has room within the forecast", t, func() {
 		g := growingGroup(1, 10_000)
-		// A home before this one granted far more than there is room for.
+		// An earlier home granted far more than fits.
 		for n := range uint64(30) {
 			g.Adopt(start, Adopted{
-				Ask:       askOf(n, 2000, 1000),
+				Ask:       newAskOfSize(n, 2000, 1000),
 				Plan:      lifecycle.Plan{Mode: lifecycle.Move, Prefill: "p", Decode: "a"},
 				Prefilled: true,
 			})
 		}
-		decisions := g.Ask(start, askOf(100, 1000, 1000))
+		decisions := g.Ask(start, newAskOfSize(100, 1000, 1000))
 		convey.So(decisions, convey.ShouldHaveLength, 1)
 		refusal, refused := decisions[0].(Refuse)
 		convey.So(refused, convey.ShouldBeTrue)
--- a/state/schedule/group_test.go
+++ b/state/schedule/group_test.go
@@ -22,7 +22,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// engines makes prefill and decode engines in turn over three zones.
+// engines returns prefill engines followed by decode engines, spread over three zones.
 func engines(prefill, decode int) []EngineSpec {
 	var out []EngineSpec
 	for i := range prefill + decode {
@@ -44,16 +44,16 @@
 	}
 }
 
-func ask(n, tokens int) Ask {
+func newAsk(n, tokens int) Ask {
 	id := lifecycle.AttemptID{Request: lifecycle.RequestID{Box: "b", Incarnation: 1, Sequence: uint64(n)}, Number: 1}
 	return Ask{ID: id, Box: "b", Account: fmt.Sprintf("a%d", n%3), PromptTokens: tokens, OutputTokens: 64}
 }
 
-// oracle follows a group's decisions from outside.
+// oracle tracks a group's decisions from outside.
 type oracle struct {
 	g       *Group
 	now     time.Time
-	open    map[lifecycle.AttemptID]bool
+	pending map[lifecycle.AttemptID]bool
 	granted map[lifecycle.AttemptID]*lifecycle.Plan
 	next    int
 }
@@ -68,35 +68,35 @@
 		case Refuse:
 			o.resolve(t, d.Ask.ID)
 			if d.RetryAfter <= 0 {
-				t.Fatalf("refused %v without saying when to come again", d.Ask.ID)
+				t.Fatalf("refused %v without a Retry-After time", d.Ask.ID)
 			}
 		case Queued:
-			if !o.open[d.Ask.ID] {
-				t.Fatalf("%v is queued, but does not wait", d.Ask.ID)
+			if !o.pending[d.Ask.ID] {
+				t.Fatalf("%v is queued, but not pending", d.Ask.ID)
 			}
 		case Slot:
 			plan := o.granted[d.Ask.ID]
 			if plan == nil || plan.Decode != "" {
-				t.Fatalf("slot for %v, which has plan %+v", d.Ask.ID, plan)
+				t.Fatalf("slot for %v, which already has plan %+v", d.Ask.ID, plan)
 			}
 			plan.Decode = d.Decode
 		}
 	}
 }
 
-// resolve notes the one answer that an ask may get.
+// resolve records the single final decision that an ask may get.
 func (o *oracle) resolve(t *rapid.T, id lifecycle.AttemptID) {
-	if !o.open[id] {
-		t.Fatalf("a decision for %v, which does not wait for one", id)
+	if !o.pending[id] {
+		t.Fatalf("a decision for %v, which is not pending", id)
 	}
-	delete(o.open, id)
+	delete(o.pending, id)
 }
 
-// drawGranted draws one of the granted attempts.
+// drawGranted draws one of the granted attempts, or returns false if there is none.
 func (o *oracle) drawGranted(t *rapid.T) (lifecycle.AttemptID, bool) {
 	ids := make([]lifecycle.AttemptID, 0, len(o.granted))
 	for n := 1; n <= o.next; n++ {
-		if id := ask(n, 0).ID; o.granted[id] != nil {
+		if id := newAsk(n, 0).ID; o.granted[id] != nil {
 			ids = append(ids, id)
 		}
 	}
@@ -111,9 +111,9 @@
 	switch rapid.IntRange(0, 5).Draw(t, "action") {
 	case 0, 1:
 		o.next++
-		a := ask(o.next, rapid.IntRange(10, 20_000).Draw(t, "tokens"))
+		a := newAsk(o.next, rapid.IntRange(10, 20_000).Draw(t, "tokens"))
 		a.Priority = rapid.IntRange(-1, 1).Draw(t, "priority")
-		o.open[a.ID] = true
+		o.pending[a.ID] = true
 		o.take(t, o.g.Ask(o.now, a))
 	case 2:
 		if id, ok := o.drawGranted(t); ok {
@@ -136,7 +136,7 @@
 	}
 }
 
-// check compares the group's books with what the oracle saw.
+// check compares the group's state with what the oracle tracked.
 func (o *oracle) check(t *rapid.T) {
 	held := make(map[string]int)
 	for _, plan := range o.granted {
@@ -147,14 +147,14 @@
 	for i, e := range o.g.engines {
 		v := o.g.view.Engines[i]
 		if v.Held != held[e.spec.Name] {
-			t.Fatalf("%s: group counts %d holds, granted are %d", e.spec.Name, v.Held, held[e.spec.Name])
+			t.Fatalf("%s: group counts %d held requests, %d are granted", e.spec.Name, v.Held, held[e.spec.Name])
 		}
 		if v.Held > e.spec.Slots || v.KVFree < 0 {
-			t.Fatalf("%s: %d holds of %d slots, %d tokens free", e.spec.Name, v.Held, e.spec.Slots, v.KVFree)
+			t.Fatalf("%s: %d requests held on %d slots, %d tokens free", e.spec.Name, v.Held, e.spec.Slots, v.KVFree)
 		}
 	}
-	if o.g.Waiting() != len(o.open) {
-		t.Fatalf("group has %d waiting, open are %d", o.g.Waiting(), len(o.open))
+	if o.g.Waiting() != len(o.pending) {
+		t.Fatalf("group has %d waiting, %d are pending", o.g.Waiting(), len(o.pending))
 	}
 }
 
@@ -162,27 +162,27 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{
 			g: New(config(2, 2), start), now: start,
-			open:    make(map[lifecycle.AttemptID]bool),
+			pending: make(map[lifecycle.AttemptID]bool),
 			granted: make(map[lifecycle.AttemptID]*lifecycle.Plan),
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			o.act(t)
 			o.check(t)
 		}
-		// Time alone ends the wait of everyone who can no longer be served.
+		// All requests that can no longer be served are refused once time has passed.
 		o.now = o.now.Add(time.Hour)
 		o.take(t, o.g.Tick(o.now))
 		for n := 1; n <= o.next; n++ {
-			o.take(t, o.g.Withdraw(o.now, ask(n, 0).ID))
-			delete(o.granted, ask(n, 0).ID)
-			delete(o.open, ask(n, 0).ID)
+			o.take(t, o.g.Withdraw(o.now, newAsk(n, 0).ID))
+			delete(o.granted, newAsk(n, 0).ID)
+			delete(o.pending, newAsk(n, 0).ID)
 		}
 		o.granted = make(map[lifecycle.AttemptID]*lifecycle.Plan)
 		o.check(t)
 	})
 }
 
-// decide returns the first decision that a fresh group makes for an ask.
+// decide returns the first decision of a new group for an ask.
 func decide(cfg Config, a Ask) Decision {
 	decisions := New(cfg, start).Ask(start, a)
 	if len(decisions) == 0 {
@@ -200,16 +200,16 @@
 		"no prefill engine means recompute":  {change: func(c *Config, _ *Ask) { c.Engines = c.Engines[2:] }, want: "recompute"},
 		"no engine at all":                   {change: func(c *Config, _ *Ask) { c.Engines = nil }, want: "no_engine"},
 		"caller's deadline cannot be met":    {change: func(_ *Config, a *Ask) { a.Deadline = time.Millisecond }, want: "target_cannot_be_met"},
-		"a deadline is no bar to a resume":   {change: func(_ *Config, a *Ask) { a.Deadline, a.Resume = time.Millisecond, true }, want: "move"},
-		"long prompt still runs when idle":   {change: func(_ *Config, a *Ask) { a.PromptTokens = 30_000 }, want: "move"},
+		"resume despite missed deadline":     {change: func(_ *Config, a *Ask) { a.Deadline, a.Resume = time.Millisecond, true }, want: "move"},
+		"long prompt runs when idle":         {change: func(_ *Config, a *Ask) { a.PromptTokens = 30_000 }, want: "move"},
 		"kept result is not computed again":  {change: func(_ *Config, a *Ask) { a.Kept, a.Resume = "e0", true }, want: "reuse"},
-		"leaving engines get nothing":        {change: func(c *Config, _ *Ask) { leave(c, "e2", "e3") }, want: "no_engine"},
-		"account at its limit is turned off": {change: func(c *Config, _ *Ask) { c.AccountLimit = func(string) int { return -1 } }, want: "move"},
+		"leaving engines get no requests":    {change: func(c *Config, _ *Ask) { leave(c, "e2", "e3") }, want: "no_engine"},
+		"negative account limit is no limit": {change: func(c *Config, _ *Ask) { c.AccountLimit = func(string) int { return -1 } }, want: "move"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey(name, t, func() {
-				cfg, a := config(2, 2), ask(1, 1000)
+				cfg, a := config(2, 2), newAsk(1, 1000)
 				cfg.Policy.NoRecompute = c.want != "recompute"
 				if c.change != nil {
 					c.change(&cfg, &a)
@@ -233,7 +233,7 @@
 func describe(d Decision) string {
 	switch d := d.(type) {
 	case Queued:
-		return "waits"
+		return "queue"
 	case Refuse:
 		return string(d.Reason)
 	case Grant:
@@ -250,19 +250,19 @@
 }
 
 func TestFairnessBetweenAccounts(t *testing.T) {
-	convey.Convey("An account that took much waits behind one that took little", t, func() {
+	convey.Convey("An account with much recent use waits behind one with little", t, func() {
 		cfg := config(1, 2)
 		cfg.Policy.NoRecompute = true
 		g := New(cfg, start)
-		big, small := ask(1, 4000), ask(2, 4000)
+		big, small := newAsk(1, 4000), newAsk(2, 4000)
 		big.Account, small.Account = "big", "small"
 		g.Ask(start, big)
 		for n := 10; n < 12; n++ {
-			a := ask(n, 1000)
+			a := newAsk(n, 1000)
 			a.Account = "big"
 			g.Ask(start.Add(time.Duration(n)*time.Millisecond), a)
 		}
-		late := ask(20, 1000)
+		late := newAsk(20, 1000)
 		late.Account = "small"
 		g.accounts.charge("small", 1, 0)
 		g.Ask(start.Add(30*time.Millisecond), late)
@@ -274,7 +274,7 @@
 func TestZoneWeights(t *testing.T) {
 	cases := map[string]struct {
 		weights map[string]int
-		// least and most bound the share of zone z0, in percent.
+		// least and most are the bounds of the share of zone z0, in percent.
 		least, most int
 	}{
 		"even":          {weights: map[string]int{"z0": 1, "z1": 1, "z2": 1}, least: 25, most: 42},
@@ -292,7 +292,7 @@
 				inZone, rounds := 0, 300
 				for n := range rounds {
 					now := start.Add(time.Duration(n) * 100 * time.Millisecond)
-					a := ask(n, 200)
+					a := newAsk(n, 200)
 					for _, d := range g.Ask(now, a) {
 						if grant, ok := d.(Grant); ok && g.engines[g.index[grant.Plan.Decode]].spec.Zone == "z0" {
 							inZone++
@@ -308,7 +308,7 @@
 }
 
 func TestEjectionIsBounded(t *testing.T) {
-	convey.Convey("A common cause does not empty the pool", t, func() {
+	convey.Convey("Failures of all engines eject only part of the pool", t, func() {
 		g := New(config(2, 6), start)
 		for round := range 40 {
 			for i := 2; i < 8; i++ {
@@ -353,7 +353,7 @@
 	now := start
 	for b.Loop() {
 		now = now.Add(time.Microsecond)
-		a := ask(1, 600)
+		a := newAsk(1, 600)
 		g.Ask(now, a)
 		g.Withdraw(now, a.ID)
 	}
@@ -373,9 +373,9 @@
 }
 
 func TestDropBefore(t *testing.T) {
-	convey.Convey("What a box asked for before it started anew is given back, and nothing else", t, func() {
+	convey.Convey("Only requests of earlier incarnations of a box are removed", t, func() {
 		g := New(config(2, 2), start)
-		old, young, other := ask(1, 1000), ask(2, 1000), ask(3, 1000)
+		old, young, other := newAsk(1, 1000), newAsk(2, 1000), newAsk(3, 1000)
 		young.ID.Request.Incarnation = 5
 		other.Box, other.ID.Request.Box = "c", "c"
 		for _, a := range []Ask{old, young, other} {
--- a/state/schedule/late_test.go
+++ b/state/schedule/late_test.go
@@ -10,14 +10,15 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// lateAsk is a late request whose caller waits for three seconds more.
+// lateAsk returns a late request whose caller waits for three more seconds.
 func lateAsk(n uint64) Ask {
-	a := askOf(n, 1000, 1000)
+	a := newAskOfSize(n, 1000, 1000)
 	a.Late, a.GiveUp, a.Waited = true, 3*time.Second, 4*time.Second
 	return a
 }
 
-// kindOf names a decision on an ask among others; empty if there is none.
+// kindOf returns the kind of the first decision for an ask, or an empty string if there is
+// none.
 func kindOf(decisions []Decision, a Ask) string {
 	for _, d := range decisions {
 		if Asked(d).ID != a.ID {
@@ -35,8 +36,7 @@
 	return ""
 }
 
-// setRates sets how many requests in time are asked for, and how many places come
-// free, a second.
+// setRates sets the rates of new requests in time and of released slots, per second.
 func setRates(g *Group, at time.Time, asks, releases float64) {
 	t := sinceStart(g.start, at)
 	perNS := func(rate float64) decayedSum {
@@ -49,17 +49,17 @@
 	const second = time.Second
 	cases := map[string]struct {
 		engines int
-		// taken is how many requests run already.
+		// taken is the number of requests that run already.
 		taken          uint64
 		asks, releases float64
 		giveUp         time.Duration
 		want           string
 	}{
-		"an idle group":                                      {engines: 2, giveUp: 3 * second, want: "grant"},
-		"room while much is asked for in time":               {engines: 2, asks: 100, releases: 100, giveUp: 3 * second, want: "grant"},
-		"full, and more is asked for than comes free":        {engines: 1, taken: 8, asks: 10, releases: 5, giveUp: 3 * second, want: "refuse"},
-		"full, and more comes free than is asked for":        {engines: 1, taken: 8, asks: 2, releases: 8, giveUp: 3 * second, want: "queue"},
-		"full, and what is left comes after it has given up": {engines: 1, taken: 8, asks: 2, releases: 2.1, giveUp: 3 * second, want: "refuse"},
+		"idle group": {engines: 2, giveUp: 3 * second, want: "grant"},
+		"free slots despite many requests in time":       {engines: 2, asks: 100, releases: 100, giveUp: 3 * second, want: "grant"},
+		"full, more requests than releases":              {engines: 1, taken: 8, asks: 10, releases: 5, giveUp: 3 * second, want: "refuse"},
+		"full, more releases than requests":              {engines: 1, taken: 8, asks: 2, releases: 8, giveUp: 3 * second, want: "queue"},
+		"full, free slot only after the caller gives up": {engines: 1, taken: 8, asks: 2, releases: 2.1, giveUp: 3 * second, want: "refuse"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -77,14 +77,14 @@
 }
 
 func TestLateBehindOthers(t *testing.T) {
-	convey.Convey("A place that comes free goes to a request in time that came after a late one", t, func() {
+	convey.Convey("A free slot goes to a request in time that arrived after a late one", t, func() {
 		g := growingGroup(1, 10_000)
 		admitted(g, 4, start)
 		now := start.Add(50 * time.Millisecond)
 		setRates(g, now, 1, 50)
-		late, urgent := lateAsk(100), askOf(101, 1000, 1000)
+		late, urgent := lateAsk(100), newAskOfSize(101, 1000, 1000)
 		convey.So(kindOf(g.Ask(now, late), late), convey.ShouldEqual, "queue")
-		// More than are tried for one place.
+		// More late requests than are tried for one slot.
 		for n := range uint64(2 * maxPlacementTries) {
 			other := lateAsk(200 + n)
 			other.GiveUp += time.Duration(n) * time.Millisecond
@@ -92,11 +92,11 @@
 		}
 		urgent.Priority, urgent.Deadline = -3, 4*time.Second
 		convey.So(kindOf(g.Ask(now, urgent), urgent), convey.ShouldEqual, "queue")
-		out := g.Done(now.Add(time.Millisecond), Report{ID: askOf(0, 0, 0).ID, Finished: true})
+		out := g.Done(now.Add(time.Millisecond), Report{ID: newAskOfSize(0, 0, 0).ID, Finished: true})
 		convey.So(kindOf(out, urgent), convey.ShouldEqual, "grant")
 		convey.So(kindOf(out, late), convey.ShouldBeEmpty)
 	})
-	convey.Convey("A late request that waits is refused once its caller will have given up", t, func() {
+	convey.Convey("A waiting late request is refused once its caller would give up", t, func() {
 		g := growingGroup(1, 10_000)
 		admitted(g, 4, start)
 		now := start.Add(50 * time.Millisecond)
@@ -107,7 +107,7 @@
 		convey.So(kindOf(g.Tick(now.Add(time.Second)), late), convey.ShouldBeEmpty)
 		convey.So(kindOf(g.Tick(now.Add(2*time.Second)), late), convey.ShouldEqual, "refuse")
 	})
-	convey.Convey("Late requests do not count as asked for in time", t, func() {
+	convey.Convey("Late requests do not count as new requests", t, func() {
 		g := growingGroup(2, 10_000)
 		for i := range uint64(20) {
 			g.Ask(start, lateAsk(i))
@@ -117,8 +117,8 @@
 	})
 }
 
-// plainGroup has one endpoint of two slots, whose requests take 100 ms, with so
-// many of them taken.
+// plainGroup returns a group with one endpoint of two slots, whose requests take 100 ms, after
+// the given number of further requests was sent to it.
 func plainGroup(taken uint64) (*Group, time.Time) {
 	g := New(Config{
 		Plain:   true,
@@ -140,7 +140,7 @@
 }
 
 func plainAsk(n uint64) Ask {
-	a := askOf(n, 0, 0)
+	a := newAskOfSize(n, 0, 0)
 	a.Deadline = 300 * time.Millisecond
 	return a
 }
@@ -152,13 +152,13 @@
 		waited, giveUp time.Duration
 		want           string
 	}{
-		"a free slot":                             {want: "grant"},
-		"a free slot, but no time left for it":    {waited: 250 * time.Millisecond, want: "refuse"},
-		"no slot free, and one soon":              {taken: 2, want: "queue"},
-		"too many before it to be in time":        {taken: 8, want: "refuse"},
-		"no slot free at another group":           {taken: 2, spill: true, want: "refuse"},
-		"late, and a slot is left":                {late: true, waited: time.Second, giveUp: time.Second, want: "grant"},
-		"late, and all slots are taken by others": {taken: 8, late: true, waited: time.Second, giveUp: time.Second, want: "refuse"},
+		"free slot":                               {want: "grant"},
+		"free slot, but deadline too close":       {waited: 250 * time.Millisecond, want: "refuse"},
+		"no free slot, but one soon":              {taken: 2, want: "queue"},
+		"too many before it to meet the deadline": {taken: 8, want: "refuse"},
+		"spill without a free slot":               {taken: 2, spill: true, want: "refuse"},
+		"late, free slot":                         {late: true, waited: time.Second, giveUp: time.Second, want: "grant"},
+		"late, all slots in use":                  {taken: 8, late: true, waited: time.Second, giveUp: time.Second, want: "refuse"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/state/schedule/leaving_test.go
+++ b/state/schedule/leaving_test.go
@@ -13,42 +13,43 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// TestEnginesThatToldABoxThatTheyLeave has one box tell that an engine leaves, or that it must
-// not send there, and then another one ask.
+// TestEnginesThatToldABoxThatTheyLeave has one box report that an engine is leaving, or that it
+// must not send to it, before another box asks.
 func TestEnginesThatToldABoxThatTheyLeave(t *testing.T) {
 	cases := map[string]struct {
 		leaving, barred []string
 		after           time.Duration
-		// told and others are who get a grant: the box that told, and those that ask after it.
-		told, others bool
+		// reporter and others are true if the reporting box, or a box that asks after it, gets
+		// a grant.
+		reporter, others bool
 	}{
-		"none":                 {told: true, others: true},
-		"all leave":            {leaving: []string{"e1", "e2"}},
-		"one leaves":           {leaving: []string{"e1"}, told: true, others: true},
-		"all left long ago":    {leaving: []string{"e1", "e2"}, after: leavingFor, others: true},
-		"all are barred":       {barred: []string{"e1", "e2"}, others: true},
-		"one is barred":        {barred: []string{"e1"}, told: true, others: true},
-		"one of each":          {leaving: []string{"e1"}, barred: []string{"e1", "e2"}, others: true},
-		"engines of elsewhere": {leaving: []string{"x1"}, barred: []string{"x1"}, told: true, others: true},
+		"none":                        {reporter: true, others: true},
+		"all leave":                   {leaving: []string{"e1", "e2"}},
+		"one leaves":                  {leaving: []string{"e1"}, reporter: true, others: true},
+		"report has expired":          {leaving: []string{"e1", "e2"}, after: leavingFor, others: true},
+		"all are barred":              {barred: []string{"e1", "e2"}, others: true},
+		"one is barred":               {barred: []string{"e1"}, reporter: true, others: true},
+		"one leaves, both are barred": {leaving: []string{"e1"}, barred: []string{"e1", "e2"}, others: true},
+		"engines of another group":    {leaving: []string{"x1"}, barred: []string{"x1"}, reporter: true, others: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := New(config(1, 2), start)
-			first, second := ask(1, 100), ask(2, 100)
+			first, second := newAsk(1, 100), newAsk(2, 100)
 			first.Barred, first.Leaving = slices.Concat(c.barred, c.leaving), c.leaving
-			if got := granted(g.Ask(start, first), first); got != c.told {
-				t.Errorf("the box that told is granted: %v, want %v", got, c.told)
+			if got := granted(g.Ask(start, first), first); got != c.reporter {
+				t.Errorf("reporting box is granted: %v, want %v", got, c.reporter)
 			}
 			if got := granted(g.Ask(start.Add(c.after), second), second); got != c.others {
-				t.Errorf("another one is granted: %v, want %v", got, c.others)
+				t.Errorf("another box is granted: %v, want %v", got, c.others)
 			}
 		})
 	}
 }
 
-// granted says whether an ask is granted, and refuses to be left without a decision.
-func granted(said []Decision, a Ask) bool {
-	for _, d := range said {
+// granted reports whether an ask is granted; false also if there is no decision for it.
+func granted(decisions []Decision, a Ask) bool {
+	for _, d := range decisions {
 		if Asked(d).ID == a.ID {
 			_, ok := d.(Grant)
 			return ok
@@ -57,20 +58,20 @@
 	return false
 }
 
-// TestThoseThatWaitForLeavingEngines has engines leave while an ask waits for them.
-func TestThoseThatWaitForLeavingEngines(t *testing.T) {
+// TestWaitersOfLeavingEngines has engines leave while a request waits for them.
+func TestWaitersOfLeavingEngines(t *testing.T) {
 	cases := map[string]struct {
 		leave, avoid []string
-		// told says that a box tells of it, not the table.
-		told    bool
+		// byBox is true if a box reports that the engines leave, and false if the table does.
+		byBox   bool
 		refused bool
 	}{
-		"all of them":              {leave: []string{"e1", "e2"}, refused: true},
-		"one of them":              {leave: []string{"e1"}},
-		"all that it may go to":    {leave: []string{"e1"}, avoid: []string{"e2"}, refused: true},
-		"only those that prefill":  {leave: []string{"e0"}},
-		"none of them, but others": {},
-		"all, as a box tells":      {leave: []string{"e1", "e2"}, told: true, refused: true},
+		"all":                      {leave: []string{"e1", "e2"}, refused: true},
+		"one of two":               {leave: []string{"e1"}},
+		"the only one not avoided": {leave: []string{"e1"}, avoid: []string{"e2"}, refused: true},
+		"prefill engine only":      {leave: []string{"e0"}},
+		"none":                     {},
+		"all, reported by a box":   {leave: []string{"e1", "e2"}, byBox: true, refused: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,23 +83,23 @@
 				}
 				g := New(cfg, start)
 				for n := 1; n <= 2; n++ {
-					g.Ask(start, ask(n, 100))
+					g.Ask(start, newAsk(n, 100))
 				}
-				waiting := ask(3, 100)
+				waiting := newAsk(3, 100)
 				waiting.Avoid = c.avoid
 				g.Ask(start, waiting)
 				convey.So(g.Waiters(), convey.ShouldHaveLength, 1)
-				var said []Decision
-				if c.told {
-					last := ask(4, 100)
+				var decisions []Decision
+				if c.byBox {
+					last := newAsk(4, 100)
 					last.Leaving = c.leave
-					said = append(g.Ask(start, last), g.Tick(start)...)
+					decisions = append(g.Ask(start, last), g.Tick(start)...)
 				} else {
 					leave(&cfg, c.leave...)
-					said = g.Configure(start, cfg)
+					decisions = g.Configure(start, cfg)
 				}
 				refused := false
-				for _, d := range said {
+				for _, d := range decisions {
 					r, ok := d.(Refuse)
 					refused = refused || ok && r.Ask.ID == waiting.ID && r.Reason == lifecycle.ReasonNoEngine
 				}
--- a/state/schedule/memory_test.go
+++ b/state/schedule/memory_test.go
@@ -14,7 +14,8 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// growingGroup is a group of decode engines whose memory grows with answers.
+// growingGroup returns a group of one prefill engine and some decode engines whose memory grows
+// with answers.
 func growingGroup(engines, memory int) *Group {
 	cfg := Config{Growing: true, Targets: Targets{FirstToken: 900 * time.Millisecond, PerToken: 4 * time.Millisecond}}
 	cfg.Engines = append(cfg.Engines, EngineSpec{Name: "p", Zone: "z", Prefill: true, Slots: 64, KVTokens: memory, PrefillRate: 40_000})
@@ -27,7 +28,7 @@
 	return New(cfg, start)
 }
 
-func askOf(n uint64, prompt, output int) Ask {
+func newAskOfSize(n uint64, prompt, output int) Ask {
 	return Ask{
 		ID:           lifecycle.AttemptID{Request: lifecycle.RequestID{Box: "box", Incarnation: 1, Sequence: n}, Number: 1},
 		Box:          "box",
@@ -35,7 +36,7 @@
 	}
 }
 
-// grantsIn counts the grants among decisions.
+// grantsIn returns the number of grants among the decisions.
 func grantsIn(decisions []Decision) int {
 	n := 0
 	for _, d := range decisions {
@@ -46,12 +47,12 @@
 	return n
 }
 
-// admitted asks for n requests of 1,000 tokens and as long an answer, the prefill
-// of each done before the next, and counts those that began.
+// admitted sends n requests of 1,000 tokens with answers of about the same length, completes
+// the prefill of each before the next, and returns how many were granted.
 func admitted(g *Group, n uint64, at time.Time) int {
 	count := 0
 	for i := range n {
-		a := askOf(i, 1000, 1000)
+		a := newAskOfSize(i, 1000, 1000)
 		count += grantsIn(g.Ask(at, a))
 		g.Prefilled(at, a.ID, 0, 0)
 		at = at.Add(10 * time.Millisecond)
@@ -60,35 +61,35 @@
 }
 
 func TestGrowingMemory(t *testing.T) {
-	convey.Convey("An engine takes what fits at its highest point by chance, and no more", t, func() {
-		// Each holds 1,000 tokens of prompt and some 1,130 more at its end. The
-		// fifth begins once the first have made some of their answers: all
-		// together may need 10,650 then, with a small chance (TestOracleRisk).
+	convey.Convey("An engine gets as many requests as fit into memory at their expected peak", t, func() {
+		// Each holds 1,000 tokens of prompt and about 1,130 more at its end. The fifth starts
+		// once the first have generated part of their answers: then all together may need
+		// 10,650 tokens, with a small probability (TestOracleRisk).
 		convey.So(admitted(growingGroup(1, 10_000), 12, start), convey.ShouldEqual, 5)
 	})
-	convey.Convey("A run whose answer was lost still holds its memory, and not for ever", t, func() {
+	convey.Convey("A request whose answer was lost holds its memory for a limited time", t, func() {
 		g := growingGroup(1, 10_000)
 		convey.So(admitted(g, 4, start), convey.ShouldEqual, 4)
 		now := start.Add(50 * time.Millisecond)
 		for i := range uint64(4) {
-			g.Done(now, Report{ID: askOf(i, 0, 0).ID, Failed: "a", Running: true})
+			g.Done(now, Report{ID: newAskOfSize(i, 0, 0).ID, Failed: "a", Running: true})
 		}
 		g.engines[1].breaker = g.engines[1].breaker.WithSuccess(0)
-		convey.So(grantsIn(g.Ask(now, askOf(10, 1000, 1000))), convey.ShouldEqual, 0)
+		convey.So(grantsIn(g.Ask(now, newAskOfSize(10, 1000, 1000))), convey.ShouldEqual, 0)
 		later := now.Add(30 * time.Second)
-		convey.So(grantsIn(g.Ask(later, askOf(11, 1000, 1000))), convey.ShouldBeGreaterThan, 0)
+		convey.So(grantsIn(g.Ask(later, newAskOfSize(11, 1000, 1000))), convey.ShouldBeGreaterThan, 0)
 	})
-	convey.Convey("A run that is over gives its memory back at once", t, func() {
+	convey.Convey("A finished request releases its memory at once", t, func() {
 		g := growingGroup(1, 10_000)
 		admitted(g, 4, start)
 		now := start.Add(50 * time.Millisecond)
-		g.Done(now, Report{ID: askOf(0, 0, 0).ID, Finished: true})
-		convey.So(grantsIn(g.Ask(now, askOf(10, 1000, 1000))), convey.ShouldEqual, 1)
+		g.Done(now, Report{ID: newAskOfSize(0, 0, 0).ID, Finished: true})
+		convey.So(grantsIn(g.Ask(now, newAskOfSize(10, 1000, 1000))), convey.ShouldEqual, 1)
 	})
 }
 
 func TestRetryAfter(t *testing.T) {
-	convey.Convey("Refused callers are told to come one after the other", t, func() {
+	convey.Convey("The Retry-After times of refused callers are spaced", t, func() {
 		g := growingGroup(1, 10_000)
 		last := time.Duration(0)
 		for range 10 {
@@ -100,38 +101,38 @@
 	})
 }
 
-func TestUnreachedIsOutAtOnce(t *testing.T) {
-	convey.Convey("One refused connection takes an engine out, one failure does not", t, func() {
+func TestUnreachableEngineIsEjectedAtOnce(t *testing.T) {
+	convey.Convey("One refused connection ejects an engine, one failure does not", t, func() {
 		g := growingGroup(3, 100_000)
 		g.recordFailure(start, Report{Failed: "a"})
 		convey.So(g.engines[1].breaker.Out(start), convey.ShouldBeFalse)
 		g.recordFailure(start, Report{Failed: "b", Unreached: true})
 		convey.So(g.engines[2].breaker.Out(start), convey.ShouldBeTrue)
-		told := g.Ejections()
-		convey.So(told, convey.ShouldHaveLength, 1)
-		convey.So(told[0].Engine, convey.ShouldEqual, "b")
-		convey.So(told[0].Unreached, convey.ShouldBeTrue)
-		convey.So(told[0].For, convey.ShouldBeGreaterThan, 0)
+		ejections := g.Ejections()
+		convey.So(ejections, convey.ShouldHaveLength, 1)
+		convey.So(ejections[0].Engine, convey.ShouldEqual, "b")
+		convey.So(ejections[0].Unreached, convey.ShouldBeTrue)
+		convey.So(ejections[0].For, convey.ShouldBeGreaterThan, 0)
 		convey.So(g.Ejections(), convey.ShouldBeEmpty)
 	})
 }
 
 func TestFullEngine(t *testing.T) {
-	convey.Convey("An engine that turned a request away gets less for a while, and is not taken for sick", t, func() {
+	convey.Convey("An engine that is full gets fewer requests for a while, but is not ejected", t, func() {
 		g := growingGroup(1, 10_000)
-		first := askOf(0, 1000, 1000)
+		first := newAskOfSize(0, 1000, 1000)
 		convey.So(grantsIn(g.Ask(start, first)), convey.ShouldEqual, 1)
 		g.Prefilled(start, first.ID, 0, 0)
 		g.Done(start, Report{ID: first.ID, Failed: "a", Full: true})
 		convey.So(g.engines[1].breaker.Out(start), convey.ShouldBeFalse)
-		convey.So(grantsIn(g.Ask(start.Add(200*time.Millisecond), askOf(1, 1200, 1000))), convey.ShouldEqual, 0)
+		convey.So(grantsIn(g.Ask(start.Add(200*time.Millisecond), newAskOfSize(1, 1200, 1000))), convey.ShouldEqual, 0)
 		later := start.Add(2 * time.Second)
-		convey.So(grantsIn(g.Ask(later, askOf(2, 1000, 1000))), convey.ShouldBeGreaterThan, 0)
+		convey.So(grantsIn(g.Ask(later, newAskOfSize(2, 1000, 1000))), convey.ShouldBeGreaterThan, 0)
 	})
 }
 
 func TestRetryAfterWithinPatience(t *testing.T) {
-	convey.Convey("When more callers are refused than can be told a time of their own, the others come as late as they will", t, func() {
+	convey.Convey("Callers for whom no retry time within their patience is left are told their patience", t, func() {
 		g := growingGroup(1, 10_000)
 		const patience = 4 * time.Second
 		last, latest := time.Duration(0), 0
@@ -146,7 +147,7 @@
 		}
 		convey.So(latest, convey.ShouldBeBetween, 150, 200)
 	})
-	convey.Convey("Once the rush is over, the next refused caller is told a short time again", t, func() {
+	convey.Convey("After a burst the next refused caller gets a short Retry-After time", t, func() {
 		g := growingGroup(1, 10_000)
 		for range 200 {
 			g.scheduleRetry(0, minRetryAfter, 4*time.Second)
@@ -156,8 +157,8 @@
 	})
 }
 
-// fullGroup is a group of one decode engine whose memory is taken by four
-// requests, the first of which ends in about a second.
+// fullGroup returns a group of one decode engine whose memory is taken by four requests, the
+// first of which ends in about a second.
 func fullGroup() (*Group, time.Time) {
 	g := growingGroup(1, 10_000)
 	admitted(g, 4, start)
@@ -169,17 +170,17 @@
 		full bool
 		want string
 	}{
-		"room":    {full: false, want: "move"},
-		"no room": {full: true, want: "target_cannot_be_met"},
+		"free memory":    {full: false, want: "move"},
+		"no free memory": {full: true, want: "target_cannot_be_met"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			convey.Convey("A request that another group refused is granted at once or refused, and books no time to come back", t, func() {
+			convey.Convey("A spilled request is granted at once or refused, and reserves no retry time", t, func() {
 				g, now := growingGroup(1, 10_000), start
 				if c.full {
 					g, now = fullGroup()
 				}
-				a := askOf(10, 1000, 1000)
+				a := newAskOfSize(10, 1000, 1000)
 				a.Spill = true
 				decisions := g.Ask(now, a)
 				convey.So(decisions, convey.ShouldHaveLength, 1)
@@ -192,34 +193,34 @@
 }
 
 func TestNoPrefillWithoutSlot(t *testing.T) {
-	convey.Convey("Where a prefill result lapses soon, none is made before a decode slot is there for it", t, func() {
+	convey.Convey("If prefill results expire soon, no prefill starts without a decode slot", t, func() {
 		g := growingGroup(1, 1_000_000)
 		g.engines[1].spec.Slots = 4
 		g.refresh(1)
 		now := start
-		// The slots are taken, and come free and are taken again quickly.
+		// The slots are full all the time: they are released and taken again quickly.
 		for n := range uint64(40) {
-			g.Done(now, Report{ID: askOf(n-4, 0, 0).ID, Finished: true})
-			g.Ask(now, askOf(n, 100, 100))
-			g.Prefilled(now, askOf(n, 0, 0).ID, 0, 0)
+			g.Done(now, Report{ID: newAskOfSize(n-4, 0, 0).ID, Finished: true})
+			g.Ask(now, newAskOfSize(n, 100, 100))
+			g.Prefilled(now, newAskOfSize(n, 0, 0).ID, 0, 0)
 			now = now.Add(5 * time.Millisecond)
 		}
 		convey.So(g.Granted(), convey.ShouldEqual, 4)
 		for n := range uint64(4) {
-			convey.So(grantsIn(g.Ask(now, askOf(100+n, 100, 100))), convey.ShouldEqual, 0)
+			convey.So(grantsIn(g.Ask(now, newAskOfSize(100+n, 100, 100))), convey.ShouldEqual, 0)
 		}
 	})
 }
 
-// sizes is the number of classes of prompt length in an overload, and sizeStep
-// what each is longer than the one before, in tokens.
+// sizes is the number of classes of prompt length in an overload, and sizeStep the difference
+// between two of them, in tokens.
 const (
 	sizes    = 10
 	sizeStep = 1000
 )
 
-// overload offers a group half as much again as it can serve, of prompts of
-// very different lengths, and counts what came and what began by length.
+// overload sends a group half as many requests again as it can serve, with very different
+// prompt lengths, and counts the requests and grants of each length.
 type overload struct {
 	group            *Group
 	random           *rand.Rand
@@ -249,7 +250,7 @@
 			}
 		}
 		size := o.random.IntN(sizes)
-		a := askOf(n, (size+1)*sizeStep, 3000)
+		a := newAskOfSize(n, (size+1)*sizeStep, 3000)
 		o.size[a.ID] = size
 		o.offered[size]++
 		o.take(o.group.Ask(o.now, a))
@@ -259,7 +260,7 @@
 
 func TestNoLengthStarves(t *testing.T) {
 	for seed := range uint64(4) {
-		convey.Convey("Under overload the longest prompts begin at least half as often as all, and so do those just below, seed "+strconv.FormatUint(seed, 10), t, func() {
+		convey.Convey("Under overload the longest prompts start at least half as often as all, and so do the next shorter ones, seed "+strconv.FormatUint(seed, 10), t, func() {
 			o := &overload{
 				group:  growingGroup(2, 60_000),
 				random: rand.New(rand.NewPCG(seed, 1)),
@@ -284,25 +285,25 @@
 	}
 }
 
-func TestRoomLeftFromFar(t *testing.T) {
+func TestRemoteReserve(t *testing.T) {
 	cases := map[string]struct {
 		prompt int
 		travel time.Duration
 		want   string
 	}{
-		"fits from near":             {prompt: 1700, want: "grant"},
-		"would leave none from far":  {prompt: 1700, travel: 40 * time.Millisecond, want: "refuse"},
-		"leaves some from far":       {prompt: 500, travel: 40 * time.Millisecond, want: "grant"},
-		"does not fit from near too": {prompt: 2600, want: "refuse"},
+		"fits, same region":            {prompt: 1700, want: "grant"},
+		"too large for another region": {prompt: 1700, travel: 40 * time.Millisecond, want: "refuse"},
+		"fits, another region":         {prompt: 500, travel: 40 * time.Millisecond, want: "grant"},
+		"too large, same region":       {prompt: 2600, want: "refuse"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			convey.Convey("A request from another region leaves a part of the engine's memory free", t, func() {
+			convey.Convey("A request from another region leaves part of the engine's memory free", t, func() {
 				g := growingGroup(1, 10_000)
-				first := askOf(1, 8000, 100)
+				first := newAskOfSize(1, 8000, 100)
 				g.Ask(start, first)
 				g.Prefilled(start, first.ID, 0, 0)
-				a := askOf(10, c.prompt, 100)
+				a := newAskOfSize(10, c.prompt, 100)
 				a.Spill, a.Travel = true, c.travel
 				convey.So(kindOf(g.Ask(start, a), a), convey.ShouldEqual, c.want)
 			})
--- a/state/schedule/pace_test.go
+++ b/state/schedule/pace_test.go
@@ -16,7 +16,7 @@
 	"runridge.example/runridge/state/pace"
 )
 
-// coldConfig has engines of which some are cold until a time after the start.
+// coldConfig returns a configuration in which some engines are cold for a time after the start.
 func coldConfig(prefill, decode, limit int, coldFor time.Duration, cold func(i int) bool) Config {
 	c := config(prefill, decode)
 	c.Growing = true
@@ -31,7 +31,7 @@
 
 func all(int) bool { return true }
 
-// grantsOf lists the grants among decisions.
+// grantsOf returns the grants among the decisions.
 func grantsOf(decisions []Decision) []Grant {
 	var out []Grant
 	for _, d := range decisions {
@@ -42,15 +42,15 @@
 	return out
 }
 
-func TestColdEngineGetsItsLimit(t *testing.T) {
+func TestColdEngineLimit(t *testing.T) {
 	g := New(coldConfig(1, 4, 2, time.Minute, all), start)
 	var granted []Grant
 	for n := range 6 {
-		granted = append(granted, grantsOf(g.Ask(start.Add(time.Millisecond), ask(n, 100)))...)
+		granted = append(granted, grantsOf(g.Ask(start.Add(time.Millisecond), newAsk(n, 100)))...)
 	}
 	for _, gr := range granted {
 		if gr.Plan.Prefill != "" && !gr.PacedPrefill || !gr.PacedDecode {
-			t.Errorf("grant %+v is not counted for its cold engines", gr)
+			t.Errorf("grant %+v does not count against its cold engines", gr)
 		}
 	}
 	for _, e := range g.ColdEngines(start.Add(time.Millisecond)) {
@@ -60,55 +60,56 @@
 	}
 }
 
-func TestPaceStartsWaitersAgain(t *testing.T) {
+func TestPacedWaiterStarts(t *testing.T) {
 	c := coldConfig(0, 1, 1, time.Minute, all)
 	c.Targets.FirstToken = 3 * time.Second
 	g := New(c, start)
 	at := start.Add(time.Millisecond)
-	if n := len(grantsOf(g.Ask(at, ask(1, 100)))); n != 1 {
-		t.Fatalf("%d grants for the first, want 1", n)
+	if n := len(grantsOf(g.Ask(at, newAsk(1, 100)))); n != 1 {
+		t.Fatalf("%d grants for the first ask, want 1", n)
 	}
-	if d := g.Ask(at, ask(2, 100)); len(grantsOf(d)) != 0 || g.Waiting() != 1 {
-		t.Fatalf("the second got %+v, want it to wait", d)
+	if d := g.Ask(at, newAsk(2, 100)); len(grantsOf(d)) != 0 || g.Waiting() != 1 {
+		t.Fatalf("the second ask got %+v, want it to wait", d)
 	}
 	if n := len(grantsOf(g.Tick(at.Add(pace.Span - 1)))); n != 0 {
-		t.Errorf("%d grants before a place is free", n)
+		t.Errorf("%d grants before the limit allows one", n)
 	}
 	second := grantsOf(g.Tick(at.Add(pace.Span)))
 	if len(second) != 1 || second[0].Held != pace.Span {
-		t.Errorf("granted %+v when a place is free, want one held for %v", second, pace.Span)
+		t.Errorf("granted %+v when the limit allows one, want one held for %v", second, pace.Span)
 	}
 }
 
 func TestRefusalForPaceIsTrue(t *testing.T) {
-	// The place comes free after the target: it is refused at once, and told when.
+	// Capacity becomes free only after the target: the ask is refused at once, with the time to
+	// retry.
 	g := New(coldConfig(0, 1, 1, time.Minute, all), start)
 	at := start.Add(time.Millisecond)
-	g.Ask(at, ask(1, 100))
-	for _, d := range g.Ask(at.Add(100*time.Millisecond), ask(2, 100)) {
+	g.Ask(at, newAsk(1, 100))
+	for _, d := range g.Ask(at.Add(100*time.Millisecond), newAsk(2, 100)) {
 		r, refused := d.(Refuse)
 		if !refused || r.Reason != lifecycle.ReasonHopeless || r.Seen.Paced != 1 || r.RetryAfter < pace.Span-100*time.Millisecond {
-			t.Errorf("got %+v", d)
+			t.Errorf("got %+v, want a refusal", d)
 		}
 	}
 	if g.Waiting() != 0 {
-		t.Error("it waits for what cannot come in time")
+		t.Error("it waits although it cannot start in time")
 	}
 }
 
-func TestWarmEnginesAreNotHeldBack(t *testing.T) {
+func TestWarmEnginesAreNotPaced(t *testing.T) {
 	const engines = 4
 	cases := map[string]struct {
 		limit int
 		cold  func(i int) bool
 		want  int
 	}{
-		"all warm":                  {limit: 0, cold: func(int) bool { return false }, want: 8 * engines},
-		"one cold with no place":    {limit: 0, cold: func(i int) bool { return i == 0 }, want: 8 * (engines - 1)},
-		"nothing bounds them":       {limit: pace.Unbounded, cold: all, want: 8 * engines},
-		"all cold with two places":  {limit: 2, cold: all, want: 2 * engines},
-		"all cold without any":      {limit: 0, cold: all, want: 0},
-		"one cold with more places": {limit: 3, cold: func(i int) bool { return i == 0 }, want: 8*(engines-1) + 3},
+		"all warm":           {limit: 0, cold: func(int) bool { return false }, want: 8 * engines},
+		"one cold, limit 0":  {limit: 0, cold: func(i int) bool { return i == 0 }, want: 8 * (engines - 1)},
+		"all cold, no limit": {limit: pace.Unbounded, cold: all, want: 8 * engines},
+		"all cold, limit 2":  {limit: 2, cold: all, want: 2 * engines},
+		"all cold, limit 0":  {limit: 0, cold: all, want: 0},
+		"one cold, limit 3":  {limit: 3, cold: func(i int) bool { return i == 0 }, want: 8*(engines-1) + 3},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -129,20 +130,20 @@
 	}
 }
 
-// tinyAsk has no prompt to speak of, so that slots and pace alone bind.
+// tinyAsk returns an ask with a minimal prompt, so that only slots and pacing limit it.
 func tinyAsk(n int) Ask {
-	a := ask(n, 1)
+	a := newAsk(n, 1)
 	a.OutputTokens = 1
 	a.Resume = true
 	return a
 }
 
-// TestColdSpeed has an engine that prefills and one that decodes learn their times
-// while they are cold, after they were warm or from the first.
+// TestColdSpeed has a prefill and a decode engine learn their times while they are cold, after
+// they were warm or as new engines.
 func TestColdSpeed(t *testing.T) {
 	const usual, cold = 3, 6
 	cases := map[string]struct {
-		// known says that they were warm before.
+		// known is true if the engines were warm before.
 		known bool
 		want  float64
 	}{
@@ -158,7 +159,7 @@
 			serve := func(times int, until time.Duration) {
 				for now = now.Add(time.Millisecond); now.Before(start.Add(until)); now = now.Add(100 * time.Millisecond) {
 					n++
-					for _, gr := range grantsOf(g.Ask(now, ask(n, 1000))) {
+					for _, gr := range grantsOf(g.Ask(now, newAsk(n, 1000))) {
 						worked := time.Duration(times) * 1000 * time.Second / 16_000
 						g.Prefilled(now, gr.Ask.ID, 1000, worked)
 						g.Done(now, Report{ID: gr.Ask.ID, Finished: true, Steps: 64, StepTime: time.Duration(times) * 64 * 9 * time.Millisecond})
@@ -173,11 +174,11 @@
 			turned.Policy = warm.Policy
 			g.Configure(now, turned)
 			serve(cold, warmAt)
-			learnt := g.engines[0].prefillFactor.Value()
+			learned := g.engines[0].prefillFactor.Value()
 			g.ColdChanges(start.Add(warmAt))
 			is := g.engines[0].prefillFactor.Value()
-			if learnt < 0.8*cold || is < 0.8*c.want || is > 1.2*c.want {
-				t.Errorf("times are %.1f of the table's when cold and %.1f when warm, want %d and %.0f", learnt, is, cold, c.want)
+			if learned < 0.8*cold || is < 0.8*c.want || is > 1.2*c.want {
+				t.Errorf("prefill times are %.1f of the table's when cold and %.1f when warm, want %d and %.0f", learned, is, cold, c.want)
 			}
 			if step := g.engines[1].stepFactor.Value(); step < 0.8*c.want || step > 1.2*c.want {
 				t.Errorf("steps take %.1f of the table's when warm, want %.0f", step, c.want)
@@ -190,10 +191,10 @@
 	c := coldConfig(1, 1, 5, time.Second, func(i int) bool { return i == 0 })
 	g := New(c, start)
 	if got := g.ColdChanges(start); len(got) != 1 || got[0] != (ColdChange{Engine: "e0", Cold: true, For: time.Second}) {
-		t.Errorf("changes at the start: %+v", got)
+		t.Errorf("changes at the start: %+v, want one cold engine", got)
 	}
 	if got := g.ColdChanges(start.Add(time.Second)); len(got) != 1 || got[0].Cold {
-		t.Errorf("changes after it: %+v", got)
+		t.Errorf("changes when it is warm: %+v, want one warm engine", got)
 	}
 }
 
@@ -203,32 +204,31 @@
 	at := start.Add(time.Millisecond)
 	want := make(map[string]int)
 	for n := range 2 {
-		for _, gr := range grantsOf(g.Ask(at, ask(n, 100))) {
+		for _, gr := range grantsOf(g.Ask(at, newAsk(n, 100))) {
 			want[gr.Plan.Prefill]++
 			want[gr.Plan.Decode]++
 		}
 	}
 	if want["e1"] == 0 {
-		t.Fatal("a warm engine was held back")
+		t.Fatal("the warm decode engine got no request")
 	}
 	g.Configure(at, coldConfig(1, 1, 3, time.Minute, all))
 	g.ColdChanges(at)
 	for _, e := range g.ColdEngines(at) {
 		if e.Counted != want[e.Engine] {
-			t.Errorf("%d requests count for %s, want %d", e.Counted, e.Engine, want[e.Engine])
+			t.Errorf("%d requests count against %s, want %d", e.Counted, e.Engine, want[e.Engine])
 		}
 	}
 }
 
-// arrival is one request at an engine.
+// arrival is a request that arrives at an engine.
 type arrival struct {
 	engine string
 	at     time.Time
 }
 
-// TestOraclePace asks a group whose engines are cold for more than they bear. Boxes
-// send late, die and have other homes; no engine gets more than its limit in any
-// second.
+// TestOraclePace sends a group of cold engines more requests than they can serve. Boxes send
+// late, fail and change their home; no engine may get more than its limit in any second.
 func TestOraclePace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 6).Draw(t, "limit")
@@ -240,7 +240,7 @@
 		within := func(most time.Duration) time.Duration { return time.Duration(random.Int64N(int64(most) + 1)) }
 		type running struct {
 			grant Grant
-			// done is when its prefill is.
+			// done is when the prefill ends.
 			done time.Time
 		}
 		var open []running
@@ -258,7 +258,7 @@
 		for now := start; now.Before(start.Add(4 * time.Second)); now = now.Add(40 * time.Millisecond) {
 			for range random.IntN(4) {
 				next++
-				take(now, g.Ask(now, ask(next, 50+random.IntN(500))))
+				take(now, g.Ask(now, newAsk(next, 50+random.IntN(500))))
 			}
 			take(now, g.Tick(now))
 			open = slices.DeleteFunc(open, func(r running) bool {
@@ -269,10 +269,11 @@
 				arrivals = append(arrivals, arrival{r.grant.Plan.Decode, now.Add(within(pace.Lag))})
 				switch random.IntN(8) {
 				case 0:
-					// Its box has another home by now, or is taken for dead; it sends all the same.
+					// The box has another home by now, or is considered dead, but still sends
+					// the request.
 					take(now, g.Withdraw(now, id))
 				case 1:
-					// The word is lost.
+					// The report is lost.
 				default:
 					take(now, g.Prefilled(now, id, 0, 0))
 					take(now, g.Done(now, Report{ID: id, Finished: true}))
@@ -288,7 +289,7 @@
 	})
 }
 
-// fullestSecond is the most arrivals at an engine in any second.
+// fullestSecond returns the maximum number of arrivals at an engine in any second.
 func fullestSecond(arrivals []arrival, engine string) int {
 	var at []time.Time
 	for _, a := range arrivals {
--- a/state/schedule/place_test.go
+++ b/state/schedule/place_test.go
@@ -12,8 +12,8 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// busyView has one prefill engine that is busy for a while and one decode
-// engine with a batch that uses a part of its memory.
+// busyView returns a view with a prefill engine that is busy for a while and a decode engine
+// with a batch that uses part of its memory.
 func busyView(prefillBusy time.Duration, held, kvFree int) *View {
 	return &View{
 		Engines: []EngineView{
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestPrefillBesideABatch(t *testing.T) {
+func TestPrefillOnDecodeEngine(t *testing.T) {
 	cases := map[string]struct {
 		busy         time.Duration
 		held, kvFree int
@@ -42,23 +42,23 @@
 		mode         lifecycle.Mode
 		found        bool
 	}{
-		"a free prefill engine is used while the batch has much to lose": {
+		"a free prefill engine is preferred over delaying a batch": {
 			held: 10, kvFree: 10_000, left: 800 * time.Millisecond, mode: lifecycle.Move, found: true,
 		},
 		"a request waits for a prefill engine that is busy for a moment": {
 			busy: 60 * time.Millisecond, held: 10, kvFree: 10_000, left: 800 * time.Millisecond,
 		},
-		"an idle decode engine takes it when the prefill engine is busy for long": {
+		"an idle decode engine prefills while the prefill engine is busy for long": {
 			busy: 600 * time.Millisecond, kvFree: 40_000, left: 800 * time.Millisecond, mode: lifecycle.Recompute, found: true,
 		},
-		"a small batch with much free memory takes it when waiting is too late": {
+		"a decode engine with a small batch prefills when waiting would miss the deadline": {
 			busy: 700 * time.Millisecond, held: 3, kvFree: 30_000, left: 700 * time.Millisecond, mode: lifecycle.Recompute, found: true,
 		},
-		"a full engine's batch is not held up even when waiting is too late": {
+		"the batch of a full engine is not delayed even when waiting would miss the deadline": {
 			busy: 700 * time.Millisecond, held: 10, kvFree: 4000, left: 700 * time.Millisecond,
 		},
 	}
-	convey.Convey("A prefill beside a batch is weighed by the decode time that it takes from the batch", t, func() {
+	convey.Convey("A prefill on a decode engine is weighed against the decode time that it takes", t, func() {
 		for name, c := range cases {
 			convey.Convey(name, func() {
 				v := busyView(c.busy, c.held, c.kvFree)
--- a/state/schedule/refuse_test.go
+++ b/state/schedule/refuse_test.go
@@ -10,18 +10,18 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// TestNoneIsRefusedThatCanStart has the only prefill engine be busy for longer than an
-// ask can wait, while decode engines may stand idle.
+// TestNoneIsRefusedThatCanStart has the only prefill engine busy for longer than a request can
+// wait, while decode engines may be idle and could prefill.
 func TestNoneIsRefusedThatCanStart(t *testing.T) {
 	cases := map[string]struct {
 		held         int
 		spill, leave bool
 		want         string
 	}{
-		"idle decode engines read the prompt":   {want: "recompute"},
-		"for a request that others refused too": {spill: true, want: "recompute"},
-		"decode engines without a free slot":    {held: 8, want: string(lifecycle.ReasonHopeless)},
-		"decode engines that are leaving":       {leave: true, want: string(lifecycle.ReasonNoEngine)},
+		"idle decode engines":    {want: "recompute"},
+		"spilled request":        {spill: true, want: "recompute"},
+		"no free decode slot":    {held: 8, want: string(lifecycle.ReasonHopeless)},
+		"leaving decode engines": {leave: true, want: string(lifecycle.ReasonNoEngine)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -34,7 +34,7 @@
 			for i := range g.view.Engines {
 				g.view.Engines[i].Held = c.held
 			}
-			a := ask(1, 2000)
+			a := newAsk(1, 2000)
 			a.Spill = c.spill
 			if got := describe(g.Ask(start, a)[0]); got != c.want {
 				t.Errorf("got %s, want %s", got, c.want)
@@ -43,19 +43,19 @@
 	}
 }
 
-// TestRetryTimesStayWithinReason refuses many callers who do not say how long they will wait,
-// and who do not come back when they are told to.
+// TestRetryTimesStayWithinReason refuses many callers of unknown patience who do not come back
+// when they are told to.
 func TestRetryTimesStayWithinReason(t *testing.T) {
 	g := limitedGroup(1, 1, 0.5, nil)
 	longest := time.Duration(0)
 	for n := range 1000 {
-		for _, d := range g.Ask(start.Add(time.Millisecond), ask(n, 1)) {
+		for _, d := range g.Ask(start.Add(time.Millisecond), newAsk(n, 1)) {
 			if r, refused := d.(Refuse); refused {
 				longest = max(longest, r.RetryAfter)
 			}
 		}
 	}
 	if longest == 0 || longest > unknownPatience {
-		t.Errorf("told to come back after %v, allowed %v", longest, unknownPatience)
+		t.Errorf("longest Retry-After time is %v, want at most %v", longest, unknownPatience)
 	}
 }
--- a/state/schedule/stage.go
+++ b/state/schedule/stage.go
@@ -46,7 +46,7 @@
 	for i := range g.engines {
 		e := &g.engines[i]
 		if e.isLeaving(t) {
-			// The others have to do without it.
+			// The other engines take over its work.
 			continue
 		}
 		changing := t < e.changingUntil
--- a/state/schedule/stage_test.go
+++ b/state/schedule/stage_test.go
@@ -14,7 +14,7 @@
 	"runridge.example/runridge/state/stages"
 )
 
-// stageConfig is a group of engines of which the first few prefill.
+// stageConfig returns a configuration in which the first engines prefill and the others decode.
 func stageConfig(prefills, engines int) Config {
 	cfg := Config{Targets: Targets{FirstToken: time.Second, PerToken: 50 * time.Millisecond}, Growing: true}
 	for i := range engines {
@@ -26,9 +26,8 @@
 	return cfg
 }
 
-// offerPromptWork has a group asked for prompts that are work for 1.2 engines, for some seconds.
-// Their answers take the others as long as three of the group's 13 engines need for the
-// prompts.
+// offerPromptWork sends prompts that keep 1.2 engines busy, for some seconds. Their answers
+// take the other engines as long as the prompts take three of the group's 13 engines.
 func offerPromptWork(g *Group, at time.Time, seconds int) time.Time {
 	const prompt, each = 3000, 12
 	for i := range seconds * each {
@@ -45,7 +44,7 @@
 }
 
 func TestStagesOfAGroup(t *testing.T) {
-	convey.Convey("A group tells its prompt work, and counts an engine by the stage that it changes to", t, func() {
+	convey.Convey("A group reports its prompt work, and counts an engine for the stage that it changes to", t, func() {
 		start := time.Unix(0, 0)
 		g := New(stageConfig(5, 13), start)
 		now := offerPromptWork(g, start, 10)
@@ -58,7 +57,7 @@
 		}
 		engines, load = g.Stages(now)
 		convey.So(stages.Make(engines, load, stages.Config{}).None(), convey.ShouldBeTrue)
-		convey.Convey("Meanwhile it gets nothing", func() {
+		convey.Convey("It gets no requests while it changes", func() {
 			for i := range 30 {
 				id := lifecycle.AttemptID{Request: lifecycle.RequestID{Box: "c", Sequence: uint64(i)}, Number: 1}
 				for _, d := range g.Ask(now, Ask{ID: id, Box: "c", PromptTokens: 3000, OutputTokens: 40}) {
@@ -69,7 +68,7 @@
 				}
 			}
 		})
-		convey.Convey("With its new stage it is ready again", func() {
+		convey.Convey("It is ready once it has its new stage", func() {
 			cfg := stageConfig(5, 13)
 			for i := range cfg.Engines {
 				e := &cfg.Engines[i]
@@ -85,7 +84,7 @@
 				}
 			}
 		})
-		convey.Convey("Those that leave are not counted, and another takes the place of the last that prefills", func() {
+		convey.Convey("Leaving engines do not count, and another one replaces the last prefill engine", func() {
 			cfg := stageConfig(3, 13)
 			leave(&cfg, "e0", "e1", "e2")
 			g := New(cfg, start)
@@ -94,7 +93,7 @@
 			convey.So(engines, convey.ShouldHaveLength, 10)
 			convey.So(stages.Make(engines, load, stages.Config{}).ToPrefill, convey.ShouldHaveLength, 1)
 		})
-		convey.Convey("One that does not change after all is ready again", func() {
+		convey.Convey("An engine whose change is cancelled is ready again", func() {
 			g.Unchanged(p.ToDecode[1])
 			engines, _ := g.Stages(now)
 			for _, e := range engines {
