--- a/state/schedule/group.go
+++ b/state/schedule/group.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// maxPrefillBacklog is how much prefill time an engine's own queue may hold: about the
-	// round trip in which the next grant arrives.
+	// maxPrefillBacklog is how much granted prefill time an engine may have left when it gets
+	// another prefill: about the round trip in which the next grant arrives.
 	maxPrefillBacklog = 12 * time.Millisecond
 	// overduePrefillRemaining is the estimate of the remaining time of a prefill that is
 	// overdue.
@@ -50,7 +50,7 @@
 	prefillFactor estimate.Factor
 	stepFactor    estimate.Factor
 	// unknownHeld has, for each of the latest load reports, the number of requests held on the
-	// engine that this group did not grant.
+	// engine that this group did not grant. The smallest one counts.
 	unknownHeld [unknownReports]int
 	reportCount int
 	// fullUntil is the time until which the engine gets no requests after it rejected one as
@@ -62,7 +62,7 @@
 	// memory is the forecast of the engine's memory use.
 	memory cachedForecast
 	// warmSpeed is what was learned of the engine before it became cold, and pacedWindow has
-	// the recent grants to it as a cold engine.
+	// the recent grants to it while it was cold.
 	cold        bool
 	warmSpeed   learnedSpeed
 	pacedWindow pace.Window
--- a/state/schedule/place.go
+++ b/state/schedule/place.go
@@ -55,9 +55,9 @@
 	// ZoneNS is the penalty for choosing a zone: above 0 for zones that recently got more than
 	// their share by weight.
 	ZoneNS []float64
-	// MaxPrefillBacklogNS is how much prefill time an engine's own queue may hold: enough to
-	// keep it busy for a round trip and no more, because requests that wait in the group can
-	// still be reordered.
+	// MaxPrefillBacklogNS is how much granted prefill time an engine may have left when it gets
+	// another prefill: enough to keep it busy for a round trip and no more, because requests
+	// that wait in the group can still be reordered.
 	MaxPrefillBacklogNS int64
 	// StepTargetNS is the target for the time between two tokens.
 	StepTargetNS float64
