--- a/state/group/group.go
+++ b/state/group/group.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package group keeps the groups that the endpoints of all services are scheduled
-// in. What table.Table.Groups works out from nothing, it works out from what has
-// changed: an endpoint's update touches its own group and no other.
+// Package group keeps the groups that the endpoints of all services are scheduled in. It
+// updates incrementally what table.Table.Groups computes from scratch: an update of an endpoint
+// only affects the endpoint's own group.
 package group
 
 import (
@@ -17,41 +17,41 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Groups are the groups of a table with the endpoints of a directory. It is an
-// immutable value; the zero value has none.
+// Groups holds the groups of a table with the endpoints of a directory. It is an immutable
+// value; the zero value holds no groups.
 type Groups struct {
-	// source is the table that they were made from, and table the same with the
-	// targets of its routed services.
+	// source is the table that the groups were built from, and table is the same one with the
+	// targets of its routed services merged in.
 	source, table table.Table
 	regions       locality.Map
-	// revision is that of the directory.
+	// revision is the revision of the directory.
 	revision uint64
 	layout   *Layout
-	// routed are the services whose endpoints stand in the directory.
+	// routed holds, by name, the services whose endpoints are listed in the directory.
 	routed map[string]service
-	// fixed are the groups of the other services.
+	// fixed holds the groups of all other services by key.
 	fixed map[string]*table.Group
 }
 
-// Layout is which groups there are. It is the same value for as long as that does
-// not change.
+// Layout lists the groups that exist. The pointer stays the same until the set of groups
+// changes.
 type Layout struct {
 	keys   []string
 	places map[string][]Place
-	// byKey are all places by their keys.
+	// byKey holds all places by their keys.
 	byKey map[string]Place
 }
 
-// Place is one group of a service.
+// Place identifies one group of a service and says where its endpoints are.
 type Place struct {
 	Key string
-	// Zone is the availability zone of its endpoints; empty is several.
+	// Zone is the availability zone of the endpoints; empty if they are in several.
 	Zone string
-	// Region is the region of its endpoints; empty is not known.
+	// Region is the region of the endpoints; empty if it is unknown.
 	Region string
 }
 
-// Keys are the keys of all groups.
+// Keys returns the keys of all groups.
 func (l *Layout) Keys() []string {
 	if l == nil {
 		return nil
@@ -59,7 +59,7 @@
 	return l.keys
 }
 
-// Places are the groups of a service.
+// Places returns the groups of a service.
 func (l *Layout) Places(service string) []Place {
 	if l == nil {
 		return nil
@@ -67,7 +67,7 @@
 	return l.places[service]
 }
 
-// Place is where a group is.
+// Place returns the place of a group, or the zero Place if there is no such group.
 func (l *Layout) Place(key string) Place {
 	if l == nil {
 		return Place{}
@@ -75,25 +75,26 @@
 	return l.byKey[key]
 }
 
-// service is one routed service with its endpoints.
+// service holds a routed service with its endpoints and groups.
 type service struct {
 	spec    table.Service
 	regions locality.Map
-	// members are the endpoints by place: those that prefill first, then by name.
+	// members holds the endpoints by sort key: prefill endpoints first, then by name.
 	members *immutable.SortedMap[string, table.Member]
-	// zones counts them by zone.
+	// zones counts the members of each zone.
 	zones  map[string]int
 	groups *immutable.Map[string, *table.Group]
 }
 
-// New works out all groups of a table with the endpoints of a directory, for a
-// fleet in one region.
+// New builds all groups of a table with the endpoints of a directory, for a fleet in one
+// region.
 func New(t table.Table, d directory.Directory) Groups { return NewByRegion(t, d, locality.Map{}) }
 
-// NewByRegion works out all groups of a table with the endpoints of a directory.
-// Services are cut by region first.
+// NewByRegion builds all groups of a table with the endpoints of a directory. It splits
+// services by region first.
 func NewByRegion(t table.Table, d directory.Directory, regions locality.Map) Groups {
-	// Without endpoints: those of routed services stand in the services.
+	// The merged table lists no endpoints of routed services; those are kept in the service
+	// values.
 	merged := directory.Merge(t, directory.Directory{})
 	g := Groups{
 		source:   t,
@@ -119,23 +120,23 @@
 	return g
 }
 
-// Table is the table that the groups belong to; its routed services have their
-// targets, and their endpoints are not in it.
+// Table returns the table that the groups belong to. Its routed services have their targets
+// merged in; their endpoints are not listed in it.
 func (g Groups) Table() table.Table { return g.table }
 
-// Revision is that of the directory whose endpoints are in the groups.
+// Revision returns the revision of the directory whose endpoints are in the groups.
 func (g Groups) Revision() uint64 { return g.revision }
 
-// Layout is which groups there are.
+// Layout returns the groups that exist.
 func (g Groups) Layout() *Layout { return g.layout }
 
-// Get finds a group by its key. It is the same value for as long as nothing of the
-// group changes, and must not be changed.
+// Get returns a group by its key. The pointer stays the same until the group changes; the
+// caller must not modify the group.
 func (g Groups) Get(key string) (*table.Group, bool) {
 	if found, ok := g.fixed[key]; ok {
 		return found, true
 	}
-	// A service's own name may have a slash, so the key does not tell which it is.
+	// The service can't be parsed from the key, because a service name may contain a slash.
 	for _, s := range g.routed {
 		if found, ok := s.groups.Get(key); ok {
 			return found, true
@@ -144,38 +145,38 @@
 	return nil, false
 }
 
-// With returns the groups after the changes of a directory, the same one at a
-// later revision.
+// With returns the groups updated with the changes of a directory since the revision that the
+// groups were built from. It rebuilds all groups if the directory no longer has those changes.
 func (g Groups) With(d directory.Directory) Groups {
-	ids, remembered := d.ChangedSince(g.revision)
-	if !remembered {
+	ids, retained := d.ChangedSince(g.revision)
+	if !retained {
 		return NewByRegion(g.source, d, g.regions)
 	}
 	g.revision = d.Revision()
 	if len(ids) == 0 {
 		return g
 	}
-	// Several changes may be of one endpoint.
+	// An endpoint may have changed more than once.
 	ids = slices.Compact(slices.Sorted(slices.Values(ids)))
 	g.routed = maps.Clone(g.routed)
-	moved := false
+	layoutChanged := false
 	for name, s := range g.routed {
 		changes := make([]change, 0, len(ids))
 		for _, id := range ids {
-			w, known := d.Status(id)
-			changes = append(changes, change{id: id, status: w, belongs: known && w.Service == name && !w.Gone && !w.Left})
+			status, known := d.Status(id)
+			changes = append(changes, change{id: id, status: status, belongs: known && status.Service == name && !status.Gone && !status.Left})
 		}
-		next, cutAnew := s.with(changes)
+		next, regrouped := s.with(changes)
 		g.routed[name] = next
-		moved = moved || cutAnew
+		layoutChanged = layoutChanged || regrouped
 	}
-	if moved {
+	if layoutChanged {
 		g.layout = g.newLayout()
 	}
 	return g
 }
 
-// newLayout lists the groups in an order that depends on the table alone.
+// newLayout lists the groups in an order that depends only on the table and the group keys.
 func (g Groups) newLayout() *Layout {
 	l := &Layout{places: make(map[string][]Place), byKey: make(map[string]Place)}
 	add := func(service string, p Place) {
@@ -199,8 +200,8 @@
 	return l
 }
 
-// placeOfGroup is where the members of a group are. Those of a fleet in one region
-// may have several zones; those of one in several have one region.
+// placeOfGroup returns where the members of a group are. In a fleet with one region, a group
+// may span several zones; in a fleet with several, a group is always within one region.
 func placeOfGroup(g *table.Group, regions locality.Map) Place {
 	p := Place{Key: g.Key, Region: regions.Only()}
 	for i, m := range g.Members {
--- a/state/group/group_test.go
+++ b/state/group/group_test.go
@@ -23,8 +23,8 @@
 	os.Exit(seed.Run(m, 200))
 }
 
-// routedTable has a model service, a plain one, and one with its endpoints in the
-// table.
+// routedTable returns a table with a model service, two plain routed services, and one whose
+// endpoints are listed in the table.
 func routedTable() table.Table {
 	return table.Table{
 		Generation: 1,
@@ -41,11 +41,12 @@
 	}
 }
 
-// same compares groups with what is worked out from nothing, by both ways.
-func same(t *rapid.T, got group.Groups, in table.Table, d directory.Directory, regions locality.Map) {
+// assertSameGroups compares groups with those rebuilt from scratch, and with those that the
+// merged table computes.
+func assertSameGroups(t *rapid.T, got group.Groups, in table.Table, d directory.Directory, regions locality.Map) {
 	rebuilt, merged := group.NewByRegion(in, d, regions), directory.Merge(in, d)
 	if !slices.Equal(got.Layout().Keys(), rebuilt.Layout().Keys()) {
-		t.Fatalf("groups %v, from nothing %v", got.Layout().Keys(), rebuilt.Layout().Keys())
+		t.Fatalf("groups %v, rebuilt %v", got.Layout().Keys(), rebuilt.Layout().Keys())
 	}
 	all := merged.GroupsByRegion(regions)
 	if len(all) != len(got.Layout().Keys()) {
@@ -59,14 +60,14 @@
 	}
 }
 
-// TestOracleGroups holds groups that follow drawn changes to those worked out from
-// nothing.
+// TestOracleGroups compares groups that are updated with random changes to groups built from
+// scratch.
 func TestOracleGroups(t *testing.T) {
 	regions := map[string]locality.Map{
 		"no regions":  {},
 		"one region":  locality.New(map[string]string{"zone-0": "a", "zone-1": "a", "zone-2": "a", "z": "a"}),
 		"two regions": locality.New(map[string]string{"zone-0": "a", "zone-1": "b", "zone-2": "a", "z": "b"}),
-		// zone-2 is in none of those that are named.
+		// zone-2 is in none of the named regions.
 		"three regions": locality.New(map[string]string{"zone-0": "zone-0", "zone-1": "b"}),
 	}
 	for name, in := range regions {
@@ -79,15 +80,15 @@
 		in := routedTable()
 		d := directory.Directory{}
 		g := group.NewByRegion(in, d, regions)
-		// A group of more than 64 in a zone is cut in two, one of up to 16 is whole.
+		// More than 64 endpoints in a zone are split into two groups; up to 16 form one group.
 		size := rapid.SampledFrom([]int{4, 18, 150, 600}).Draw(t, "size")
-		at := uint64(0)
+		revision := uint64(0)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
-			at++
+			revision++
 			if rapid.IntRange(0, 9).Draw(t, "left") == 0 {
 				d = d.WithLeft(fmt.Sprint("i-", rapid.IntRange(0, size).Draw(t, "id")))
 			}
-			d = d.WithChanges(time.Time{}, at, drawChanges(t, size))
+			d = d.WithChanges(time.Time{}, revision, drawChanges(t, size))
 			if rapid.IntRange(0, 4).Draw(t, "drains") == 0 {
 				zone := fmt.Sprint("zone-", rapid.IntRange(0, 3).Draw(t, "zone"))
 				d = d.WithDrained(time.Time{}, map[string]bool{zone: true})
@@ -97,10 +98,10 @@
 			}
 			if rapid.IntRange(0, 3).Draw(t, "looks") > 0 {
 				g = g.With(d)
-				same(t, g, in, d, regions)
+				assertSameGroups(t, g, in, d, regions)
 			}
 		}
-		same(t, g.With(d), in, d, regions)
+		assertSameGroups(t, g.With(d), in, d, regions)
 	})
 }
 
@@ -123,8 +124,8 @@
 	return out
 }
 
-// TestUntouchedGroupsStay holds that a change leaves the other groups and the layout
-// as the very same values: homes and routers tell by that what they need not do.
+// TestUntouchedGroupsStay checks that a change keeps the pointers of all other groups and of
+// the layout. Homes and routers compare these pointers to skip groups that have not changed.
 func TestUntouchedGroupsStay(t *testing.T) {
 	d := directory.Directory{}.WithList(time.Time{}, 1, entries(300))
 	before := group.New(routedTable(), d)
@@ -132,7 +133,7 @@
 	e.Draining = true
 	after := before.With(d.WithChanges(time.Time{}, 2, []directory.Change{{Entry: e}}))
 	if after.Layout() != before.Layout() {
-		t.Error("the layout is another value")
+		t.Error("the layout pointer changed, want the same one")
 	}
 	changed := 0
 	for _, key := range before.Layout().Keys() {
@@ -143,7 +144,7 @@
 		}
 	}
 	if changed != 1 {
-		t.Errorf("%d groups are other values, want 1", changed)
+		t.Errorf("%d group pointers changed, want 1", changed)
 	}
 }
 
@@ -163,8 +164,8 @@
 	return out
 }
 
-// TestOneRegion holds that a fleet in one region has the groups that it has without
-// regions named, at the same places.
+// TestOneRegion checks that naming the only region of a fleet changes neither its groups nor
+// their zones.
 func TestOneRegion(t *testing.T) {
 	one := locality.New(map[string]string{"zone-0": "a", "zone-1": "a", "zone-2": "a", "z": "a"})
 	for _, size := range []int{0, 4, 18, 300, 700} {
@@ -177,7 +178,7 @@
 			before, _ := without.Get(key)
 			after, _ := with.Get(key)
 			if !slices.Equal(before.Members, after.Members) {
-				t.Errorf("%d endpoints: group %s has other members", size, key)
+				t.Errorf("%d endpoints: group %s has different members", size, key)
 			}
 			if place := with.Layout().Place(key); place.Zone != without.Layout().Place(key).Zone || place.Region != "a" {
 				t.Errorf("%d endpoints: group %s is at %+v", size, key, place)
@@ -186,9 +187,9 @@
 	}
 }
 
-// TestCutByRegion holds that the few endpoints of a service in a region are one
-// group, that many are cut by zone, and that a region that loses all its endpoints
-// leaves the groups of the others as they are.
+// TestCutByRegion checks that a service's endpoints in a region form one group if they are few
+// and are split by zone if they are many, and that a region that loses all its endpoints does
+// not change the groups of other regions.
 func TestCutByRegion(t *testing.T) {
 	regions := locality.New(map[string]string{"zone-0": "a", "zone-1": "b", "zone-2": "b"})
 	d := directory.Directory{}.WithList(time.Time{}, 1, entries(60))
@@ -215,7 +216,7 @@
 	for _, key := range after.Layout().Keys() {
 		was, known := before.Get(key)
 		if now, _ := after.Get(key); !known || !slices.Equal(was.Members, now.Members) {
-			t.Errorf("group %s has other members after another region was lost", key)
+			t.Errorf("group %s has different members after another region was lost", key)
 		}
 	}
 	if got := after.Layout().Places("a/b"); !slices.Equal(got, want[1:]) {
@@ -223,38 +224,40 @@
 	}
 }
 
-// atOnce are the groups of a table before and after so many endpoints came in one change.
-func atOnce(count int) (before group.Groups, after directory.Directory) {
+// manyAdded returns the groups of an empty directory, and the directory after count endpoints
+// were added in one change.
+func manyAdded(count int) (before group.Groups, after directory.Directory) {
 	d := directory.Directory{}.WithList(time.Time{}, 1, nil)
 	return group.New(routedTable(), d), d.WithList(time.Time{}, 2, entries(count))
 }
 
-// TestManyEndpointsAtOnce holds that a list of many endpoints that come at once costs hardly more
-// than working out all groups from nothing: they are worked out once, not once for each.
+// TestManyEndpointsAtOnce checks that adding many endpoints in one change allocates at most
+// twice as much as building all groups from scratch: the groups must be computed once per
+// change, not once per endpoint.
 func TestManyEndpointsAtOnce(t *testing.T) {
 	for _, count := range []int{500, 8000} {
-		before, after := atOnce(count)
+		before, after := manyAdded(count)
 		changed := testing.AllocsPerRun(2, func() { before.With(after) })
-		anew := testing.AllocsPerRun(2, func() { group.New(routedTable(), after) })
-		t.Logf("%d endpoints: %.0f allocations, %.0f from nothing", count, changed, anew)
-		if changed > 2*anew {
-			t.Errorf("%d endpoints cost %.0f allocations, %.0f from nothing", count, changed, anew)
+		rebuilt := testing.AllocsPerRun(2, func() { group.New(routedTable(), after) })
+		t.Logf("%d endpoints: %.0f allocations, %.0f when rebuilt", count, changed, rebuilt)
+		if changed > 2*rebuilt {
+			t.Errorf("%d endpoints cost %.0f allocations, %.0f when rebuilt", count, changed, rebuilt)
 		}
 	}
-	before, after := atOnce(8000)
+	before, after := manyAdded(8000)
 	got, want := before.With(after), group.New(routedTable(), after)
 	for _, key := range want.Layout().Keys() {
 		a, _ := got.Get(key)
 		b, _ := want.Get(key)
 		if a == nil || !slices.Equal(a.Members, b.Members) {
-			t.Errorf("group %s has other members than by the table", key)
+			t.Errorf("group %s has different members than when rebuilt", key)
 		}
 	}
 }
 
-// BenchmarkManyEndpoints is the list of 10,000 endpoints that a box takes in at its start.
+// BenchmarkManyEndpoints adds the list of 10,000 endpoints that a box receives at its start.
 func BenchmarkManyEndpoints(b *testing.B) {
-	before, after := atOnce(10_000)
+	before, after := manyAdded(10_000)
 	b.ReportAllocs()
 	for b.Loop() {
 		before.With(after)
--- a/state/group/service.go
+++ b/state/group/service.go
@@ -16,28 +16,28 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Prefixes of the members' places: a group lists those that prefill first.
+// Prefixes of the members' sort keys: a group lists its prefill members first.
 const (
-	prefillFirst = "0"
-	othersAfter  = "1"
+	prefillPrefix = "0"
+	otherPrefix   = "1"
 )
 
-// placeOf is where a member stands in the order of its group.
-func placeOf(m table.Member) string {
+// sortKey returns the key that orders a member within its group.
+func sortKey(m table.Member) string {
 	if m.Prefill {
-		return prefillFirst + m.Endpoint.Name
+		return prefillPrefix + m.Endpoint.Name
 	}
-	return othersAfter + m.Endpoint.Name
+	return otherPrefix + m.Endpoint.Name
 }
 
-// memberOf is an endpoint of a routed service as a member of its group.
-func memberOf(spec table.Service, w directory.Status) table.Member {
-	e := directory.EndpointOf(spec, w)
+// newMember returns an endpoint of a routed service as a member of its group.
+func newMember(spec table.Service, status directory.Status) table.Member {
+	e := directory.EndpointOf(spec, status)
 	m := table.Member{Endpoint: e, Holds: e.Slots, Weight: 1, Model: spec.Engine != nil}
-	m.Prefill = m.Model && w.Stage == directory.StagePrefill
+	m.Prefill = m.Model && status.Stage == directory.StagePrefill
 	m.Decode = !m.Prefill
 	if spec.ColdPace > 0 {
-		m.ColdUntil = w.ColdEnd(time.Duration(spec.ColdMS) * time.Millisecond)
+		m.ColdUntil = status.ColdEnd(time.Duration(spec.ColdMS) * time.Millisecond)
 	}
 	return m
 }
@@ -45,163 +45,165 @@
 func newService(spec table.Service, regions locality.Map, statuses []directory.Status) service {
 	s := service{spec: spec, regions: regions, zones: make(map[string]int)}
 	members := immutable.NewSortedMapBuilder[string, table.Member](nil)
-	for _, w := range statuses {
-		if w.Gone || w.Left {
+	for _, status := range statuses {
+		if status.Gone || status.Left {
 			continue
 		}
-		m := memberOf(spec, w)
-		members.Set(placeOf(m), m)
+		m := newMember(spec, status)
+		members.Set(sortKey(m), m)
 		s.zones[m.Endpoint.Zone]++
 	}
 	s.members = members.Map()
-	s.groups = s.cut()
+	s.groups = s.buildGroups()
 	return s
 }
 
-// find is the member with an id.
+// find returns the member with an ID.
 func (s service) find(id string) (table.Member, bool) {
-	if m, ok := s.members.Get(prefillFirst + id); ok {
+	if m, ok := s.members.Get(prefillPrefix + id); ok {
 		return m, true
 	}
-	return s.members.Get(othersAfter + id)
+	return s.members.Get(otherPrefix + id)
 }
 
-// change is an endpoint that has changed. Belongs says whether it is one of the service now.
+// change is an endpoint that has changed. belongs reports whether it is now an endpoint of the
+// service.
 type change struct {
 	id      string
 	status  directory.Status
 	belongs bool
 }
 
-// moves are the members that come into a group and go out of it, the latter by name.
-type moves struct {
-	in  []table.Member
-	out []string
+// groupChanges holds the members that a group gains and the names of those that it loses.
+type groupChanges struct {
+	added   []table.Member
+	removed []string
 }
 
-// with returns the service after changes of endpoints, each of another one, and says whether
-// it is cut into other groups now. However many change at once, groups are worked out once.
+// with returns the service after changes to endpoints, at most one per endpoint, and reports
+// whether the set of its groups has changed. However many endpoints change at once, the groups
+// are computed once.
 func (s service) with(changes []change) (service, bool) {
 	before := s
 	s.zones = maps.Clone(s.zones)
 	members := s.editor(len(changes))
-	gone, come := s.apply(changes, members)
-	if len(gone)+len(come) == 0 {
+	removed, added := s.apply(changes, members)
+	if len(removed)+len(added) == 0 {
 		return before, false
 	}
-	s.members = members.done()
-	if !s.sameCut(before) {
-		s.groups = s.cut()
+	s.members = members.result()
+	if !s.sameGroups(before) {
+		s.groups = s.buildGroups()
 		return s, true
 	}
-	touched := make(map[string]moves)
-	for _, m := range gone {
+	changed := make(map[string]groupChanges)
+	for _, m := range removed {
 		key := s.groupOf(m)
-		t := touched[key]
-		t.out = append(t.out, m.Endpoint.Name)
-		touched[key] = t
+		c := changed[key]
+		c.removed = append(c.removed, m.Endpoint.Name)
+		changed[key] = c
 	}
-	for _, m := range come {
+	for _, m := range added {
 		key := s.groupOf(m)
-		t := touched[key]
-		t.in = append(t.in, m)
-		touched[key] = t
+		c := changed[key]
+		c.added = append(c.added, m)
+		changed[key] = c
 	}
-	for key, t := range touched {
-		s.groups = s.groups.Set(key, s.moved(key, t))
+	for key, c := range changed {
+		s.groups = s.groups.Set(key, s.updatedGroup(key, c))
 	}
 	return s, false
 }
 
-// apply changes the members and the counts of zones, and returns the members that have gone
-// and those that have come; one that has changed is among both.
-func (s service) apply(changes []change, members *editor) (gone, come []table.Member) {
+// apply updates the members and the counts of zones, and returns the members that were removed
+// and added; a member that has changed is in both.
+func (s service) apply(changes []change, members *editor) (removed, added []table.Member) {
 	for _, c := range changes {
 		old, had := s.find(c.id)
 		if had {
 			members.remove(old)
-			gone = append(gone, old)
+			removed = append(removed, old)
 			if s.zones[old.Endpoint.Zone]--; s.zones[old.Endpoint.Zone] == 0 {
 				delete(s.zones, old.Endpoint.Zone)
 			}
 		}
 		if c.belongs {
-			m := memberOf(s.spec, c.status)
+			m := newMember(s.spec, c.status)
 			members.set(m)
-			come = append(come, m)
+			added = append(added, m)
 			s.zones[m.Endpoint.Zone]++
 		}
 	}
-	return gone, come
+	return removed, added
 }
 
-// editor changes the members of a service: one by one, sharing what does not change, or, where
-// most of them change, all anew.
+// editor modifies the members of a service: one at a time, sharing the unchanged part of the
+// map, or by rebuilding the map if most members change.
 type editor struct {
-	shared *immutable.SortedMap[string, table.Member]
-	anew   map[string]table.Member
+	shared  *immutable.SortedMap[string, table.Member]
+	rebuilt map[string]table.Member
 }
 
-// editor changes the members, of which so many are to change.
+// editor returns an editor of the members that is suited to the number of changes.
 func (s service) editor(changes int) *editor {
 	e := &editor{shared: s.members}
-	if changes*2 < s.members.Len() || changes < fewChanges {
+	if changes*2 < s.members.Len() || changes < minRebuildChanges {
 		return e
 	}
-	e.anew = make(map[string]table.Member, s.members.Len()+changes)
+	e.rebuilt = make(map[string]table.Member, s.members.Len()+changes)
 	for i := s.members.Iterator(); !i.Done(); {
-		place, m, _ := i.Next()
-		e.anew[place] = m
+		key, m, _ := i.Next()
+		e.rebuilt[key] = m
 	}
 	return e
 }
 
-// fewChanges are never worth making all members anew.
-const fewChanges = 32
+// minRebuildChanges is the number of changes below which rebuilding the map never pays off.
+const minRebuildChanges = 32
 
 func (e *editor) remove(m table.Member) {
-	if e.anew != nil {
-		delete(e.anew, placeOf(m))
+	if e.rebuilt != nil {
+		delete(e.rebuilt, sortKey(m))
 		return
 	}
-	e.shared = e.shared.Delete(placeOf(m))
+	e.shared = e.shared.Delete(sortKey(m))
 }
 
 func (e *editor) set(m table.Member) {
-	if e.anew != nil {
-		e.anew[placeOf(m)] = m
+	if e.rebuilt != nil {
+		e.rebuilt[sortKey(m)] = m
 		return
 	}
-	e.shared = e.shared.Set(placeOf(m), m)
+	e.shared = e.shared.Set(sortKey(m), m)
 }
 
-// done is the members after the changes.
-func (e *editor) done() *immutable.SortedMap[string, table.Member] {
-	if e.anew == nil {
+// result returns the members after the changes.
+func (e *editor) result() *immutable.SortedMap[string, table.Member] {
+	if e.rebuilt == nil {
 		return e.shared
 	}
 	members := immutable.NewSortedMapBuilder[string, table.Member](nil)
-	for _, place := range slices.Sorted(maps.Keys(e.anew)) {
-		members.Set(place, e.anew[place])
+	for _, key := range slices.Sorted(maps.Keys(e.rebuilt)) {
+		members.Set(key, e.rebuilt[key])
 	}
 	return members.Map()
 }
 
-// region is the region that the endpoints of a zone are cut with.
+// region returns the region of a zone, as the endpoints are split by it.
 func (s service) region(zone string) string { return s.regions.Of(zone) }
 
-// whole says whether all endpoints of a region are one group.
-func (s service) whole(region string) bool {
-	here := 0
+// isSingleGroup reports whether all endpoints of a region form one group.
+func (s service) isSingleGroup(region string) bool {
+	count := 0
 	for zone, n := range s.zones {
 		if s.region(zone) == region {
-			here += n
+			count += n
 		}
 	}
-	return here <= table.MaxGroup
+	return count <= table.MaxGroup
 }
 
-// regionKey is the key of a region's endpoints if they are one group.
+// regionKey returns the key of the group of a region whose endpoints form one group.
 func (s service) regionKey(region string) string {
 	if !s.regions.Several() {
 		return s.spec.Name
@@ -209,26 +211,26 @@
 	return table.RegionGroupKey(s.spec.Name, region)
 }
 
-// parts is into how many groups a zone is cut.
+// parts returns the number of groups that a zone is split into.
 func (s service) parts(zone string) uint64 {
 	return table.ZoneParts(s.zones[zone], s.members.Len())
 }
 
-// sameCut says whether a service is cut into the same groups as before.
-func (s service) sameCut(before service) bool {
-	return s.cutLike(before) && before.cutLike(s)
+// sameGroups reports whether the service is split into the same groups as before.
+func (s service) sameGroups(before service) bool {
+	return s.groupsWithin(before) && before.groupsWithin(s)
 }
 
-// cutLike says whether each group of the service is one of another as well.
-func (s service) cutLike(other service) bool {
+// groupsWithin reports whether each group of the service also exists in other.
+func (s service) groupsWithin(other service) bool {
 	for zone := range s.zones {
 		region := s.region(zone)
-		whole := s.whole(region)
+		single := s.isSingleGroup(region)
 		switch {
-		case whole != other.whole(region):
+		case single != other.isSingleGroup(region):
 			return false
-		case whole:
-			if s.regions.Several() && !other.in(region) {
+		case single:
+			if s.regions.Several() && !other.hasRegion(region) {
 				return false
 			}
 		case other.zones[zone] == 0, s.parts(zone) != other.parts(zone):
@@ -238,8 +240,8 @@
 	return true
 }
 
-// in says whether the service has endpoints in a region.
-func (s service) in(region string) bool {
+// hasRegion reports whether the service has endpoints in a region.
+func (s service) hasRegion(region string) bool {
 	for zone := range s.zones {
 		if s.region(zone) == region {
 			return true
@@ -248,18 +250,18 @@
 	return false
 }
 
-// groupOf is the key of the group that a member belongs to.
+// groupOf returns the key of the group that a member belongs to.
 func (s service) groupOf(m table.Member) string {
 	zone := m.Endpoint.Zone
-	if region := s.region(zone); s.whole(region) {
+	if region := s.region(zone); s.isSingleGroup(region) {
 		return s.regionKey(region)
 	}
 	parts := s.parts(zone)
 	return table.ZoneGroupKey(s.spec.Name, zone, table.PartOf(m.Endpoint.Name, parts), parts)
 }
 
-// places lists the service's groups, region by region. A service of a fleet in one
-// region that has no endpoints is one group without any.
+// places lists the groups of the service, region by region. In a fleet with one region, a
+// service without endpoints has one empty group.
 func (s service) places() []Place {
 	zones := slices.Sorted(maps.Keys(s.zones))
 	if !s.regions.Several() {
@@ -272,9 +274,9 @@
 	return out
 }
 
-// placesIn lists the groups of a region's zones, among the given ones.
+// placesIn lists the groups of those given zones that are in the region.
 func (s service) placesIn(region string, zones []string) []Place {
-	if s.whole(region) {
+	if s.isSingleGroup(region) {
 		return []Place{{Key: s.regionKey(region), Region: region}}
 	}
 	var out []Place
@@ -294,8 +296,8 @@
 	return out
 }
 
-// cut works out all groups of the service.
-func (s service) cut() *immutable.Map[string, *table.Group] {
+// buildGroups builds all groups of the service.
+func (s service) buildGroups() *immutable.Map[string, *table.Group] {
 	groups := make(map[string]*table.Group)
 	for _, p := range s.places() {
 		groups[p.Key] = &table.Group{Key: p.Key, Service: s.spec.Name}
@@ -312,14 +314,14 @@
 	return out.Map()
 }
 
-// moved is a group after some of its members have gone and others have come.
-func (s service) moved(key string, t moves) *table.Group {
+// updatedGroup returns a group after members were removed and added.
+func (s service) updatedGroup(key string, c groupChanges) *table.Group {
 	out := &table.Group{Key: key, Service: s.spec.Name}
 	if g, ok := s.groups.Get(key); ok {
-		out.Members = append(make([]table.Member, 0, len(g.Members)+len(t.in)), g.Members...)
+		out.Members = append(make([]table.Member, 0, len(g.Members)+len(c.added)), g.Members...)
 	}
-	out.Members = slices.DeleteFunc(out.Members, func(m table.Member) bool { return slices.Contains(t.out, m.Endpoint.Name) })
-	out.Members = append(out.Members, t.in...)
-	slices.SortFunc(out.Members, func(a, b table.Member) int { return strings.Compare(placeOf(a), placeOf(b)) })
+	out.Members = slices.DeleteFunc(out.Members, func(m table.Member) bool { return slices.Contains(c.removed, m.Endpoint.Name) })
+	out.Members = append(out.Members, c.added...)
+	slices.SortFunc(out.Members, func(a, b table.Member) int { return strings.Compare(sortKey(a), sortKey(b)) })
 	return out
 }
