--- a/state/pace/bucket.go
+++ b/state/pace/bucket.go
@@ -9,54 +9,55 @@
 )
 
 const (
-	// burstTime is the time whose requests a bucket holds at the most; one request at the
-	// least.
+	// burstTime is how much of a limit, as a time at its rate, a bucket holds at most. A bucket
+	// always holds at least one request.
 	burstTime = 250 * time.Millisecond
-	// leastPerSecond is granted whatever an endpoint names: only an answer tells that its
-	// limit has ended.
-	leastPerSecond = 0.1
-	// limitSettleTime is after how long a box that has become a group's home is the only
-	// one that takes itself for it, and what another has granted has been sent.
+	// minPerSecond is the least rate that is granted, whatever limit an endpoint announces:
+	// only an answer of the endpoint can say that its limit has ended.
+	minPerSecond = 0.1
+	// limitSettleTime is the time after which a box that has become the home of a group is the
+	// only box that acts as its home, and all that its predecessor granted has been sent.
 	limitSettleTime = viewSpread + Lag
-	// besideShare is the part of a limit that a box grants while another may be the home:
-	// one that has just become it, or is asked in place of one that is silent.
-	besideShare = 0.25
+	// contestedShare is the part of a limit that a box grants while another box may act as the
+	// home too: because it has just become the home, or because it is asked in place of a
+	// silent home.
+	contestedShare = 0.25
 )
 
-// Share is the part of the limits that endpoints name which a box may grant, 0 to 1.
-// Boxes that are cut off from each other have a home each, whose parts add up to the whole.
+// Share returns the part of the announced limits that a box may grant, from 0 to 1. Boxes that
+// are partitioned from each other have a home each, whose parts add up to the whole.
 func Share(s Standing) float64 {
-	// A box that knows nothing of the others cannot tell its part.
+	// A box that knows of no other boxes can't compute its part.
 	if s.All <= 0 {
 		return 0
 	}
 	part := min(float64(s.Seen)/float64(s.All), 1)
 	if !s.Home || s.For < limitSettleTime {
-		part *= besideShare
+		part *= contestedShare
 	}
 	return part
 }
 
-// Rate is how many requests a second a box with a share of the limit may grant.
-func (l Limit) Rate(share float64) float64 { return max(l.PerSecond, leastPerSecond) * share }
+// Rate returns how many requests per second a box with a share of the limit may grant.
+func (l Limit) Rate(share float64) float64 { return max(l.PerSecond, minPerSecond) * share }
 
-// Bucket is what may be granted of a limit now, in requests: a token bucket that begins
-// empty. It is an immutable value; times are the group's.
+// Bucket is a token bucket, counted in requests, that holds what may be granted of a limit now.
+// It starts empty. It is an immutable value; times are relative to the start of the group.
 type Bucket struct {
 	level float64
 	at    time.Duration
 }
 
-// NewBucket is an empty bucket with so many requests granted ahead.
+// NewBucket returns an empty bucket from which ahead requests have been granted in advance.
 func NewBucket(now time.Duration, ahead int) Bucket { return Bucket{level: -float64(ahead), at: now} }
 
-// WithTime returns the bucket at a time, filled at a rate in requests a second.
+// WithTime returns the bucket refilled up to now, at a rate in requests per second.
 func (b Bucket) WithTime(now time.Duration, rate float64) Bucket {
 	if now <= b.at {
 		return b
 	}
-	most := max(rate*burstTime.Seconds(), 1)
-	b.level = min(b.level+rate*(now-b.at).Seconds(), most)
+	capacity := max(rate*burstTime.Seconds(), 1)
+	b.level = min(b.level+rate*(now-b.at).Seconds(), capacity)
 	b.at = now
 	return b
 }
@@ -67,19 +68,20 @@
 	return b
 }
 
-// Allows says whether one more request may be granted.
+// Allows reports whether one more request may be granted.
 func (b Bucket) Allows() bool { return b.level >= 1-rounding }
 
-// Free is when the request after so many others may be granted at a rate.
+// Free returns when a request may be granted that comes after so many others, at a rate. It
+// returns math.MaxInt64 if that never happens.
 func (b Bucket) Free(others int, rate float64) time.Duration {
-	short := float64(others+1) - b.level
+	missing := float64(others+1) - b.level
 	switch {
-	case short <= rounding:
+	case missing <= rounding:
 		return b.at
 	case rate <= 0:
 		return math.MaxInt64
 	}
-	wait := short / rate * float64(time.Second)
+	wait := missing / rate * float64(time.Second)
 	if wait >= float64(math.MaxInt64-b.at) {
 		return math.MaxInt64
 	}
--- a/state/pace/bucket_test.go
+++ b/state/pace/bucket_test.go
@@ -31,11 +31,11 @@
 		perSecond float64
 		want      Limit
 	}{
-		"a number":     {perSecond: 2.8, want: Limit{Named: true, PerSecond: 2.8}},
-		"nothing":      {want: Limit{Named: true}},
-		"less":         {perSecond: -1},
-		"no number":    {perSecond: math.NaN()},
-		"no end of it": {perSecond: math.Inf(1)},
+		"a number":  {perSecond: 2.8, want: Limit{Named: true, PerSecond: 2.8}},
+		"nothing":   {want: Limit{Named: true}},
+		"less":      {perSecond: -1},
+		"no number": {perSecond: math.NaN()},
+		"infinite":  {perSecond: math.Inf(1)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -51,11 +51,11 @@
 		s    Standing
 		want float64
 	}{
-		"the only home":                  {s: Standing{Home: true, For: time.Minute, Seen: 8, All: 8}, want: 1},
-		"a home that begins":             {s: Standing{Home: true, For: limitSettleTime - 1, Seen: 8, All: 8}, want: besideShare},
-		"a box that stands in":           {s: Standing{For: time.Minute, Seen: 8, All: 8}, want: besideShare},
-		"a home that sees half":          {s: Standing{Home: true, For: time.Minute, Seen: 4, All: 8}, want: 0.5},
-		"a home that knows of no others": {s: Standing{Home: true, For: time.Minute}},
+		"the only home":              {s: Standing{Home: true, For: time.Minute, Seen: 8, All: 8}, want: 1},
+		"a new home":                 {s: Standing{Home: true, For: limitSettleTime - 1, Seen: 8, All: 8}, want: contestedShare},
+		"a box in place of the home": {s: Standing{For: time.Minute, Seen: 8, All: 8}, want: contestedShare},
+		"a home that sees half":      {s: Standing{Home: true, For: time.Minute, Seen: 4, All: 8}, want: 0.5},
+		"a home without known boxes": {s: Standing{Home: true, For: time.Minute}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -66,84 +66,85 @@
 	}
 }
 
-// limitWindow is the window that the users judge limits by.
+// limitWindow is the window in which the operators' rules check limits.
 const limitWindow = 4 * time.Second
 
-// mostIn is the most arrivals in any window of the users'.
-func mostIn(arrivals []time.Duration) int {
+// maxInLimitWindow returns the highest number of arrivals in any limitWindow.
+func maxInLimitWindow(arrivals []time.Duration) int {
 	slices.SortFunc(arrivals, cmp.Compare[time.Duration])
-	most, from := 0, 0
+	highest, from := 0, 0
 	for i, at := range arrivals {
 		for at-arrivals[from] >= limitWindow {
 			from++
 		}
-		most = max(most, i-from+1)
+		highest = max(highest, i-from+1)
 	}
-	return most
+	return highest
 }
 
-// takeLimit lets each home of the moment, and each box that stands in for one, grant all
-// that it may of a limit.
-func (w *world) takeLimit(now time.Duration, l Limit, buckets map[int]Bucket) {
-	for _, d := range w.duties {
+// grantLimit lets every box that acts as the home, or is asked in place of it, grant all that
+// it may of a limit.
+func (w *world) grantLimit(now time.Duration, l Limit, buckets map[int]Bucket) {
+	for _, d := range w.tenures {
 		from := d.begin
-		if d.standsIn > 0 {
-			from = min(from, d.standsIn)
+		if d.askedFrom > 0 {
+			from = min(from, d.askedFrom)
 		}
-		if now < from || now >= d.ends {
+		if now < from || now >= d.end {
 			continue
 		}
 		b, known := buckets[d.box]
 		if !known {
 			b = NewBucket(now, 0)
 		}
-		share := Share(Standing{Home: now >= d.begin, For: now - d.began, Seen: d.seen, All: w.all})
+		share := Share(Standing{Home: now >= d.begin, For: now - d.since, Seen: d.seen, All: w.all})
 		for b = b.WithTime(now, l.Rate(share)); b.Allows(); b = b.WithTaken() {
-			lag := time.Duration(w.random.Int64N(int64(Lag)))
+			delay := time.Duration(w.random.Int64N(int64(Lag)))
 			if w.random.IntN(2) == 0 {
 				// It is sent after a prefill, which takes about as long each time.
-				lag += 700*time.Millisecond + time.Duration(w.random.Int64N(int64(400*time.Millisecond)))
+				delay += 700*time.Millisecond + time.Duration(w.random.Int64N(int64(400*time.Millisecond)))
 			}
-			w.arrivals = append(w.arrivals, now+lag)
+			w.arrivals = append(w.arrivals, now+delay)
 		}
 		buckets[d.box] = b
 	}
 }
 
-// TestOracleLimit plays homes that die, are cut off, move, freeze and are parted, and boxes
-// that stand in for them, all of which ask for more than an endpoint takes.
+// TestOracleLimit simulates homes that crash, are cut off, move, freeze or are partitioned, and
+// boxes that are asked in place of them. All of them grant as much of an endpoint's limit as
+// they may.
 func TestOracleLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{
 			all: rapid.IntRange(2, 60).Draw(t, "boxes"), random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
 		}
 		l := LimitOf(rapid.SampledFrom([]float64{0, 0.3, 1, 2.8, 15, 60}).Draw(t, "limit"))
-		home := duty{began: -time.Minute, seen: w.all}
+		home := tenure{since: -time.Minute, seen: w.all}
 		for range rapid.IntRange(0, 4).Draw(t, "changes") {
 			now := home.begin + time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "until"))
 			home = w.change(t, home, now)
 		}
-		lasts := home.begin + 5*time.Second
-		home.ends = lasts
-		w.duties = append(w.duties, home)
+		end := home.begin + 5*time.Second
+		home.end = end
+		w.tenures = append(w.tenures, home)
 		buckets := make(map[int]Bucket)
-		for now := time.Duration(0); now < lasts; now += step {
-			w.takeLimit(now, l, buckets)
+		for now := time.Duration(0); now < end; now += step {
+			w.grantLimit(now, l, buckets)
 		}
-		if got, allowed := mostIn(w.arrivals), 1.5*l.PerSecond*limitWindow.Seconds()+5; float64(got) > allowed {
+		if got, allowed := maxInLimitWindow(w.arrivals), 1.5*l.PerSecond*limitWindow.Seconds()+5; float64(got) > allowed {
 			t.Fatalf("%d requests in %v, allowed %.1f", got, limitWindow, allowed)
 		}
 	})
 }
 
-// TestLimitIsUsed holds that one home grants a limit whole.
+// TestLimitIsUsed checks that a single home grants a limit in full.
 func TestLimitIsUsed(t *testing.T) {
 	for _, perSecond := range []float64{0.3, 2.8, 60} {
 		w := &world{all: 7, random: rand.New(rand.NewPCG(1, 1))}
-		w.duties = []duty{{began: -time.Minute, ends: time.Minute, seen: 7}}
+		w.tenures = []tenure{{since: -time.Minute, end: time.Minute, seen: 7}}
 		buckets := make(map[int]Bucket)
 		for now := time.Duration(0); now < time.Minute; now += step {
-			w.takeLimit(now, LimitOf(perSecond), buckets)
+			w.grantLimit(now, LimitOf(perSecond), buckets)
 		}
 		if got, want := len(w.arrivals), int(0.95*perSecond*60); got < want {
 			t.Errorf("limit %v: %v requests in a minute, want %v", perSecond, got, want)
--- a/state/pace/counted.go
+++ b/state/pace/counted.go
@@ -5,23 +5,22 @@
 
 import "time"
 
-// Counted is what the home of a group has counted of one attempt, for engines that are
-// cold or name a limit. It counts for a short time: a grant that has been under way for
-// too long is not sent there.
+// Counted says what the home of a group has counted of one attempt, for engines that are cold
+// or announce a limit. It is valid for a short time: a grant that is too old is not sent.
 type Counted struct {
-	// Prefill and Decode say for which engine it was counted.
+	// Prefill and Decode say for which engines the attempt was counted.
 	Prefill, Decode bool
-	// Granted is when it was granted at the earliest, and Prefilled when its home was
-	// sent a message that its prefill is done; zero is not yet.
+	// Granted is the earliest time at which the attempt may have been granted. Prefilled is
+	// when the home was notified that the prefill is done; zero until then.
 	Granted, Prefilled time.Time
 }
 
-// PrefillAt says whether a prefill that was counted may be sent now.
+// PrefillAt reports whether a prefill that was counted may be sent now.
 func (c Counted) PrefillAt(now time.Time) bool {
 	return c.Prefill && now.Sub(c.Granted) <= SendWithin
 }
 
-// DecodeAt says whether a request for an answer that was counted may be sent now.
+// DecodeAt reports whether a decode request that was counted may be sent now.
 func (c Counted) DecodeAt(now time.Time) bool {
 	if c.Prefilled.IsZero() {
 		return c.Decode && now.Sub(c.Granted) <= SendWithin
--- a/state/pace/limit.go
+++ b/state/pace/limit.go
@@ -5,15 +5,15 @@
 
 import "math"
 
-// Limit is how many requests a second an endpoint takes from all boxes together, as it
-// says itself. The zero value is an endpoint that names no limit.
+// Limit is how many requests per second an endpoint accepts from all boxes together, as the
+// endpoint announces it. The zero value means that it announces no limit.
 type Limit struct {
 	Named     bool
 	PerSecond float64
 }
 
-// LimitOf is a limit of so many requests a second. A negative number, one that is not
-// finite and NaN name none.
+// LimitOf returns a limit in requests per second. A negative number, an infinite one and NaN
+// mean no limit.
 func LimitOf(perSecond float64) Limit {
 	if !(perSecond >= 0) || math.IsInf(perSecond, 1) {
 		return Limit{}
--- a/state/pace/notice.go
+++ b/state/pace/notice.go
@@ -5,13 +5,13 @@
 
 import "time"
 
-// Notice is what an endpoint says of itself in an answer.
+// Notice is what an endpoint announces about itself in an answer.
 type Notice struct {
-	// Limit is how much it takes from all boxes together.
+	// Limit is how many requests it accepts from all boxes together.
 	Limit Limit
-	// Leaving says that it is about to end and wants no new requests.
+	// Leaving means that it is about to shut down and wants no new requests.
 	Leaving bool
-	// Rest is for how long it wants no request from the box that it answers; 0 is not
-	// said.
+	// Rest is how long it wants no request from the box that it answers; 0 means that it did
+	// not say.
 	Rest time.Duration
 }
--- a/state/pace/window.go
+++ b/state/pace/window.go
@@ -9,54 +9,55 @@
 )
 
 const (
-	// SendWithin is how long after its grant, or after the message that its prefill is
-	// done, a box may begin to send a request to a cold endpoint; one that is later
-	// asks again. What is left up to Lag is for a new connection.
+	// SendWithin is how long after its grant, or after the message that its prefill is done, a
+	// box may start to send a request to a cold endpoint; later it has to ask again. The
+	// remaining time up to Lag allows for opening a connection.
 	SendWithin = 150 * time.Millisecond
-	// Lag is how long after it a request is sent at the latest.
+	// Lag is the maximum time from the grant, or from that message, until the request is sent.
 	Lag = 200 * time.Millisecond
-	// OpenFor is how long after its grant a request may be sent to the cold endpoint
-	// that decodes it. A box gives a prefill up after 1.5 times its target, 1.4 s where
-	// that is 0.9 s.
+	// OpenFor is how long after its grant a request may be sent to the cold endpoint that
+	// decodes it. A box gives up on a prefill after 1.5 times its target: 1.4 s for a target of
+	// 0.9 s.
 	OpenFor = 2 * time.Second
-	// Span is how long a request counts after the last moment that it is known not to
-	// have been sent before: a second, and the time until it is sent.
+	// Span is how long a request counts after the last moment at which it is known not to have
+	// been sent: a second, plus the time until it is sent.
 	Span = time.Second + Lag
 )
 
-// Window counts what was granted for one cold endpoint lately. A request counts from
-// its grant until a second after it was sent at the latest, so all that are sent
-// within any second count at its end: while the count stays within a limit, so do the
-// arrivals of each second. It is an immutable value; times are the group's.
+// Window counts the recent grants for one cold endpoint. A request counts from its grant until
+// one second after the latest time at which it can be sent, so all requests sent within any
+// second count at the end of that second: as long as the count is within a limit, so are the
+// arrivals of each second. It is an immutable value; times are relative to the start of the
+// group.
 //
-// A token bucket has to hold its burst and what flows in during the second within the
-// bound together: of a bound of 6.5 a second it gives 0.30, the window 0.65 (TestWays).
+// A token bucket has to fit its burst plus the refill of the second into the bound: it uses
+// 0.30 of a bound of 6.5 per second, the window 0.65 (TestCompareBoundings).
 type Window struct {
-	// sent are the latest known moments of requests, the oldest first.
+	// sent holds the last known times at which requests had not been sent, in ascending order.
 	sent []time.Duration
-	// open are the grants whose request is still to be sent.
+	// open holds the times of the grants whose requests have yet to be sent.
 	open []time.Duration
 }
 
-// WithSent returns the window after a request that is sent within Lag of now.
+// WithSent returns the window after a request that will be sent within Lag of now.
 func (w Window) WithSent(now time.Duration) Window {
-	// What is older counts no more.
+	// Older requests no longer count.
 	sent := slices.DeleteFunc(slices.Clone(w.sent), func(at time.Duration) bool { return now-at >= Span })
 	i, _ := slices.BinarySearch(sent, now)
 	w.sent = slices.Insert(sent, i, now)
 	return w
 }
 
-// WithOpen returns the window after a grant whose request is sent later, when its
-// prefill is done.
+// WithOpen returns the window after a grant whose request is sent later, once its prefill is
+// done.
 func (w Window) WithOpen(granted time.Duration) Window {
 	w.open = slices.DeleteFunc(slices.Clone(w.open), func(at time.Duration) bool { return granted-at >= OpenFor+Span })
 	w.open = append(w.open, granted)
 	return w
 }
 
-// WithDone returns the window after the message that an open request is sent within Lag
-// of now, or was sent before.
+// WithDone returns the window after the message that an open request will be sent within Lag of
+// now, or was sent already.
 func (w Window) WithDone(granted, now time.Duration) Window {
 	i := slices.Index(w.open, granted)
 	if i < 0 {
@@ -66,7 +67,7 @@
 	return w.WithSent(min(now, granted+OpenFor))
 }
 
-// Count is how many requests count now.
+// Count returns how many requests count now.
 func (w Window) Count(now time.Duration) int {
 	count := 0
 	for _, at := range w.sent {
@@ -82,8 +83,8 @@
 	return count
 }
 
-// Free lists when each of the limit's places is free: now, or when the request in it
-// ends to count. An open request is taken to be sent by now.
+// Free lists when each slot of the limit is free: now, or when the request in it stops
+// counting. An open request is assumed to be sent now.
 func (w Window) Free(now time.Duration, limit int) []time.Duration {
 	var busy []time.Duration
 	for _, at := range w.sent {
@@ -97,7 +98,7 @@
 		}
 	}
 	slices.Sort(busy)
-	// Of those beyond the limit, the first to end free no place.
+	// If there are more requests than the limit, the first ones to expire free no slot.
 	busy = busy[max(len(busy)-limit, 0):]
 	out := make([]time.Duration, 0, limit)
 	for range limit - len(busy) {
--- a/state/pace/window_test.go
+++ b/state/pace/window_test.go
@@ -30,12 +30,12 @@
 		limit int
 		want  []time.Duration
 	}{
-		"all are free":                      {limit: 2, want: []time.Duration{0, 0}},
-		"one is taken":                      {w: Window{}.WithSent(10 * ms), now: 20 * ms, limit: 2, want: []time.Duration{20 * ms, 10*ms + Span}},
-		"one counts no more":                {w: Window{}.WithSent(10 * ms), now: 10*ms + Span, limit: 1, want: []time.Duration{10*ms + Span}},
-		"an open one is taken to go now":    {w: Window{}.WithOpen(10 * ms), now: 20 * ms, limit: 1, want: []time.Duration{20*ms + Span}},
-		"more are taken than the limit has": {w: Window{}.WithSent(10 * ms).WithSent(20 * ms), now: 30 * ms, limit: 1, want: []time.Duration{20*ms + Span}},
-		"nothing may be given out":          {w: Window{}.WithSent(10 * ms), now: 20 * ms},
+		"all are free":                    {limit: 2, want: []time.Duration{0, 0}},
+		"one is taken":                    {w: Window{}.WithSent(10 * ms), now: 20 * ms, limit: 2, want: []time.Duration{20 * ms, 10*ms + Span}},
+		"one has expired":                 {w: Window{}.WithSent(10 * ms), now: 10*ms + Span, limit: 1, want: []time.Duration{10*ms + Span}},
+		"an open one is assumed sent now": {w: Window{}.WithOpen(10 * ms), now: 20 * ms, limit: 1, want: []time.Duration{20*ms + Span}},
+		"more are taken than the limit":   {w: Window{}.WithSent(10 * ms).WithSent(20 * ms), now: 30 * ms, limit: 1, want: []time.Duration{20*ms + Span}},
+		"nothing may be granted":          {w: Window{}.WithSent(10 * ms), now: 20 * ms},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -60,18 +60,18 @@
 		s     Standing
 		want  int
 	}{
-		"the only home":                   {bound: bound, pace: 1, s: old, want: 5},
-		"of a faster endpoint":            {bound: bound, pace: 15, s: old, want: 22},
-		"a home that begins":              {bound: bound, pace: 1, s: with(func(s *Standing) { s.For = quietTime - 1 })},
-		"a home that has begun":           {bound: bound, pace: 1, s: with(func(s *Standing) { s.For = quietTime }), want: 1},
-		"a home that is not the only one": {bound: bound, pace: 1, s: with(func(s *Standing) { s.For = settleTime - 1 }), want: 1},
-		"a box that stands in":            {bound: bound, pace: 1, s: with(func(s *Standing) { s.Home = false })},
-		"a home that sees a third":        {bound: bound, pace: 1, s: with(func(s *Standing) { s.Seen = 20 }), want: 1},
-		"a home that is alone":            {bound: bound, pace: 1, s: with(func(s *Standing) { s.Seen = 1 })},
-		"a home that knows of no others":  {bound: bound, pace: 1, s: with(func(s *Standing) { s.Seen, s.All = 0, 0 })},
-		"an endpoint without a pace":      {bound: bound, s: old, want: Unbounded},
-		"settings that bound nothing":     {pace: 1, s: old, want: Unbounded},
-		"whole numbers stay whole":        {bound: Bound{Slack: 10}, pace: 1, s: old, want: 8},
+		"the only home":               {bound: bound, pace: 1, s: old, want: 5},
+		"a faster endpoint":           {bound: bound, pace: 15, s: old, want: 22},
+		"a new home that is quiet":    {bound: bound, pace: 1, s: with(func(s *Standing) { s.For = quietTime - 1 })},
+		"a new home that may grant":   {bound: bound, pace: 1, s: with(func(s *Standing) { s.For = quietTime }), want: 1},
+		"a home that has not settled": {bound: bound, pace: 1, s: with(func(s *Standing) { s.For = settleTime - 1 }), want: 1},
+		"a box in place of the home":  {bound: bound, pace: 1, s: with(func(s *Standing) { s.Home = false })},
+		"a home that sees a third":    {bound: bound, pace: 1, s: with(func(s *Standing) { s.Seen = 20 }), want: 1},
+		"a home that is alone":        {bound: bound, pace: 1, s: with(func(s *Standing) { s.Seen = 1 })},
+		"a home without known boxes":  {bound: bound, pace: 1, s: with(func(s *Standing) { s.Seen, s.All = 0, 0 })},
+		"an endpoint without a pace":  {bound: bound, s: old, want: Unbounded},
+		"settings that bound nothing": {pace: 1, s: old, want: Unbounded},
+		"whole numbers stay whole":    {bound: Bound{Slack: 10}, pace: 1, s: old, want: 8},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/tests/mutants/cold.go
+++ b/tests/mutants/cold.go
@@ -35,7 +35,7 @@
 		old: "settleTime = viewSpread + OpenFor + time.Second", fault: "settleTime = viewSpread + time.Second",
 	},
 	{
-		name: "new_home_gives_at_once", file: paceFile, pkg: paceTests, args: only("TestGroupsCutAnewAndBack"),
+		name: "new_home_gives_at_once", file: paceFile, pkg: paceTests, args: only("TestGroupSplitAndRejoined"),
 		old: "quietTime = Span\n", fault: "quietTime = 0\n",
 	},
 	{
--- a/tests/mutants/limit.go
+++ b/tests/mutants/limit.go
@@ -17,7 +17,7 @@
 var limitMutants = []mutant{
 	{
 		name: "box_beside_a_home_grants_all", file: bucketFile, pkg: paceTests, args: limitOracle,
-		old: "		part *= besideShare\n", fault: "",
+		old: "		part *= contestedShare\n", fault: "",
 	},
 	{
 		name: "each_side_of_a_cut_grants_the_whole_limit", file: bucketFile, pkg: paceTests, args: only("TestShare"),
@@ -25,7 +25,7 @@
 	},
 	{
 		name: "bucket_without_a_bound", file: bucketFile, pkg: paceTests, args: only("TestIdleBucketHoldsOneBurst"),
-		old: "b.level = min(b.level+rate*(now-b.at).Seconds(), most)", fault: "b.level = max(b.level+rate*(now-b.at).Seconds(), 0*most)",
+		old: "b.level = min(b.level+rate*(now-b.at).Seconds(), capacity)", fault: "b.level = max(b.level+rate*(now-b.at).Seconds(), 0*capacity)",
 	},
 	{
 		name: "limited_engines_not_held_back", file: schedulePaceFile, pkg: scheduleTests, args: only("TestLimitedEngines"),
