--- a/state/poison/block.go
+++ b/state/poison/block.go
@@ -9,53 +9,55 @@
 	"time"
 )
 
-// endsToBlock is how many endpoints a request ends until it is taken for a poison
-// request. In plays of ten seconds with some 330 other requests (BenchmarkSpared) it takes
-// none of the others for one; where besides an endpoint ends of its own accord each second it
-// takes one of them, two would take five and four would cost another endpoint.
+// endsToBlock is the number of endpoints that a request must end to be classified as a poison
+// request. In simulations of ten seconds with some 330 other requests (BenchmarkEndsToBlock),
+// three misclassifies none of the others; if one more endpoint per second ends for other
+// reasons, it misclassifies one. Two would misclassify five, and four would cost one more
+// endpoint.
 const endsToBlock = 3
 
-// blockedOf finds the poison requests among the suspects. What ran beside one has ended
-// the same endpoints, so the ends are explained by as few requests as can be: the one
-// with the most ends first, and what it explains counts against no other.
-func blockedOf(suspects map[Fingerprint]Suspect, ends int) map[Fingerprint]bool {
+// findBlocked returns the poison requests among the suspects. Requests that ran next to a
+// poison request saw the same endpoints end, so the ends are explained by as few requests as
+// possible: the request with the most ends comes first, and the ends that it explains do not
+// count against the others.
+func findBlocked(suspects map[Fingerprint]Suspect, ends int) map[Fingerprint]bool {
 	blocked := make(map[Fingerprint]bool)
-	var left []Suspect
+	var candidates []Suspect
 	for _, s := range suspects {
 		if s.count() >= ends {
-			left = append(left, s)
+			candidates = append(candidates, s)
 		}
 	}
 	var explained []End
-	for len(left) > 0 {
-		best, at := weigh(left[0], explained), 0
-		for i, s := range left[1:] {
-			if w := weigh(s, explained); w.before(best) {
-				best, at = w, i+1
+	for len(candidates) > 0 {
+		best, at := evidenceAgainst(candidates[0], explained), 0
+		for i, s := range candidates[1:] {
+			if e := evidenceAgainst(s, explained); e.strongerThan(best) {
+				best, at = e, i+1
 			}
 		}
 		if best.ends < ends {
 			break
 		}
-		found := left[at]
+		found := candidates[at]
 		blocked[found.Fingerprint] = true
 		explained = append(explained, found.Ends...)
-		left = append(left[:at], left[at+1:]...)
+		candidates = append(candidates[:at], candidates[at+1:]...)
 	}
 	return blocked
 }
 
-// weight is how much speaks against a suspect.
-type weight struct {
-	// ends counts those that no other request explains, and ran is how long it had run
-	// at all of them together.
+// evidence sums up what speaks against a suspect.
+type evidence struct {
+	// ends is the number of ends that no other request explains, and ran is how long the
+	// request had run in total at the endpoints that ended.
 	ends        int
 	ran         time.Duration
 	fingerprint Fingerprint
 }
 
-func weigh(s Suspect, explained []End) weight {
-	w := weight{fingerprint: s.Fingerprint}
+func evidenceAgainst(s Suspect, explained []End) evidence {
+	w := evidence{fingerprint: s.Fingerprint}
 	for _, e := range s.Ends {
 		if !e.Cleared && !slices.ContainsFunc(explained, e.same) {
 			w.ends++
@@ -65,14 +67,14 @@
 	return w
 }
 
-// before says whether more speaks against one suspect than against another: it has more
-// ends, or the endpoints ended sooner after it came to them. A poison request ends its
-// endpoint as soon as it runs; what runs beside it came earlier. The last comparison only
-// has all boxes agree.
-func (w weight) before(o weight) bool {
+// strongerThan reports whether the evidence e is stronger than o: more endpoints ended, or they
+// ended sooner after the request reached them. A poison request ends its endpoint as soon as it
+// runs, while the requests next to it arrived earlier. The last comparison only makes all boxes
+// agree.
+func (e evidence) strongerThan(o evidence) bool {
 	return cmp.Or(
-		cmp.Compare(o.ends, w.ends),
-		cmp.Compare(w.ran, o.ran),
-		compareFingerprints(w.fingerprint, o.fingerprint),
+		cmp.Compare(o.ends, e.ends),
+		cmp.Compare(e.ran, o.ran),
+		compareFingerprints(e.fingerprint, o.fingerprint),
 	) < 0
 }
--- a/state/poison/fingerprint_test.go
+++ b/state/poison/fingerprint_test.go
@@ -19,14 +19,14 @@
 func TestFingerprintsDiffer(t *testing.T) {
 	base := Request{Method: "POST", Host: "desk", Target: "/a", Account: "north", Body: []byte("body")}
 	cases := map[string]Request{
-		"method":                        {Method: "PUT", Host: "desk", Target: "/a", Account: "north", Body: []byte("body")},
-		"host":                          {Method: "POST", Host: "shop", Target: "/a", Account: "north", Body: []byte("body")},
-		"target":                        {Method: "POST", Host: "desk", Target: "/a?b", Account: "north", Body: []byte("body")},
-		"account":                       {Method: "POST", Host: "desk", Target: "/a", Account: "south", Body: []byte("body")},
-		"no account":                    {Method: "POST", Host: "desk", Target: "/a", Body: []byte("body")},
-		"body":                          {Method: "POST", Host: "desk", Target: "/a", Account: "north", Body: []byte("other")},
-		"a byte in the part before":     {Method: "POST", Host: "desk/", Target: "a", Account: "north", Body: []byte("body")},
-		"the body's start in the other": {Method: "POST", Host: "desk", Target: "/a", Account: "northb", Body: []byte("ody")},
+		"method":                      {Method: "PUT", Host: "desk", Target: "/a", Account: "north", Body: []byte("body")},
+		"host":                        {Method: "POST", Host: "shop", Target: "/a", Account: "north", Body: []byte("body")},
+		"target":                      {Method: "POST", Host: "desk", Target: "/a?b", Account: "north", Body: []byte("body")},
+		"account":                     {Method: "POST", Host: "desk", Target: "/a", Account: "south", Body: []byte("body")},
+		"no account":                  {Method: "POST", Host: "desk", Target: "/a", Body: []byte("body")},
+		"body":                        {Method: "POST", Host: "desk", Target: "/a", Account: "north", Body: []byte("other")},
+		"a byte moved between parts":  {Method: "POST", Host: "desk/", Target: "a", Account: "north", Body: []byte("body")},
+		"body bytes moved to account": {Method: "POST", Host: "desk", Target: "/a", Account: "northb", Body: []byte("ody")},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkFingerprintOf measures a body of a usual model request.
+// BenchmarkFingerprintOf measures a body of the usual size of a model request.
 func BenchmarkFingerprintOf(b *testing.B) {
 	r := Request{Method: "POST", Host: "desk.example", Target: "/orders/7", Body: make([]byte, 5000)}
 	for b.Loop() {
--- a/state/poison/ledger.go
+++ b/state/poison/ledger.go
@@ -14,63 +14,65 @@
 )
 
 const (
-	// Keep is how long a suspect is remembered after it was last seen. A poison request
-	// came again after at most 4 s, and callers wait 14 s at the longest; four times that.
+	// Keep is how long a suspect is kept after it was last seen. Poison requests were retried
+	// after at most 4 s, and callers wait 14 s at most; this is four times that.
 	Keep = time.Minute
-	// MaxSuspects bounds the suspects: sixteen endpoints that end at once with 64 requests
-	// each. With MaxEnds of each they take 450 KB.
+	// MaxSuspects bounds the number of suspects: sixteen endpoints that end at once with 64
+	// requests each. With MaxEnds of each, they take 450 KB.
 	MaxSuspects = 1024
-	// MaxEnds bounds the ends of one suspect, far above those that block it.
+	// MaxEnds bounds the ends kept of one suspect, far above the number that blocks it.
 	MaxEnds = 16
-	// MaxSent bounds the suspects that go to another box at once: with all their ends some
-	// 42 KB, which fit into a message.
+	// MaxSent bounds the suspects sent to another box at once: with all their ends they take
+	// some 42 KB, which fit into a message.
 	MaxSent = 128
-	// passedOnShare is the part of Keep after which a suspect is not passed on any more,
-	// and takenShare the part after which it is not taken from others: boxes forget it at
-	// slightly different times, and must not remind each other without end.
-	passedOnShare = 0.8
-	takenShare    = 0.9
-	// sameEnd is how far apart two boxes may notice one end of an endpoint. It is less than
-	// the some seconds that an endpoint takes to be back: what ends again is another start.
-	sameEnd = 2 * time.Second
-	// renewed is how much later a suspect has to be seen for others to be told: with a
-	// poison request that never rests, one message a box in that time.
-	renewed = Keep / 16
+	// announceShare is the part of Keep after which a suspect is no longer announced, and
+	// acceptShare the part after which it is no longer accepted from others. Boxes drop a
+	// suspect at slightly different times, and must not keep restoring it on each other.
+	announceShare = 0.8
+	acceptShare   = 0.9
+	// sameEndWithin is the maximum difference between the times at which two boxes notice the
+	// same end of an endpoint. It is less than the several seconds that an endpoint takes to
+	// come back: an end after that is the end of another start.
+	sameEndWithin = 2 * time.Second
+	// minSeenAdvance is how much later a suspect must have been seen for that to be announced.
+	// With a poison request that is retried without pause, each box sends one message per
+	// interval.
+	minSeenAdvance = Keep / 16
 )
 
-// Update is suspects on their way from one box to others.
+// Update spreads suspects from one box to others.
 type Update struct {
-	// Origin is the box that tells; empty is the answer to a question.
+	// Origin is the box that announces them; empty in the answer to a query.
 	Origin   string
 	Suspects []Suspect
 }
 
-// End is the end of one start of an endpoint in the middle of a request.
+// End records that one start of an endpoint ended while it ran a request.
 type End struct {
-	// Endpoint stands for the start of the endpoint; EndpointOf makes it. Where an
-	// endpoint does not say when it started, its starts differ by At alone.
+	// Endpoint identifies the start of the endpoint; EndpointOf computes it. If an endpoint
+	// does not report when it started, only At distinguishes its starts.
 	Endpoint uint64
-	// At is when it ended, as far as the box that noticed first can tell.
+	// At is when it ended, by the clock of the box that noticed first.
 	At time.Time
-	// Ran is how long after its send there the request broke off.
+	// Ran is how long after it was sent there the request broke off.
 	Ran time.Duration
-	// Cleared says that the request has been answered elsewhere since.
+	// Cleared means that another endpoint has answered the request since.
 	Cleared bool
 }
 
-// EndpointOf stands for one start of an endpoint: two starts under one id differ in when
-// they were.
-func EndpointOf(id string, born int64) uint64 {
-	return xxhash.Sum64(binary.AppendVarint([]byte(id), born))
+// EndpointOf returns a hash that identifies one start of an endpoint: two starts with the same
+// ID differ in their start times.
+func EndpointOf(id string, started int64) uint64 {
+	return xxhash.Sum64(binary.AppendVarint([]byte(id), started))
 }
 
-// Suspect is a request that endpoints ended in the middle of.
+// Suspect is a request that was running at endpoints when they ended.
 type Suspect struct {
 	Fingerprint Fingerprint
-	// Ends has each start of an endpoint once, in the order of Endpoint and At, and of
-	// more than MaxEnds the first.
+	// Ends lists each start of an endpoint once, ordered by Endpoint and At, and only the first
+	// MaxEnds of them.
 	Ends []End
-	// Seen is when it last came or ended an endpoint.
+	// Seen is when the request last arrived or an endpoint last ended while running it.
 	Seen time.Time
 }
 
@@ -78,14 +80,14 @@
 	return cmp.Or(cmp.Compare(e.Endpoint, o.Endpoint), e.At.Compare(o.At))
 }
 
-// same says whether two records are of one end.
+// same reports whether two records describe the same end.
 func (e End) same(o End) bool {
-	return e.Endpoint == o.Endpoint && e.At.Sub(o.At).Abs() < sameEnd
+	return e.Endpoint == o.Endpoint && e.At.Sub(o.At).Abs() < sameEndWithin
 }
 
-// with joins what is known of one suspect in two places. It makes no difference which
-// is joined first, or how often.
-func (s Suspect) with(o Suspect) Suspect {
+// merge combines two records of one suspect. The result does not depend on the order in which
+// records are merged, or on how often.
+func (s Suspect) merge(o Suspect) Suspect {
 	all := slices.Concat(s.Ends, o.Ends)
 	slices.SortFunc(all, End.compare)
 	var ends []End
@@ -104,13 +106,13 @@
 	return s
 }
 
-// tells says whether a record of a suspect tells others more than an older one.
-func (s Suspect) tells(old Suspect) bool {
+// hasNews reports whether the suspect has anything to announce that an older record lacks.
+func (s Suspect) hasNews(old Suspect) bool {
 	known := slices.EqualFunc(s.Ends, old.Ends, func(a, b End) bool { return a.same(b) && a.Cleared == b.Cleared })
-	return !known || s.Seen.Sub(old.Seen) >= renewed
+	return !known || s.Seen.Sub(old.Seen) >= minSeenAdvance
 }
 
-// count is the number of ends that were not cleared.
+// count returns the number of ends that are not cleared.
 func (s Suspect) count() int {
 	n := 0
 	for _, e := range s.Ends {
@@ -121,36 +123,38 @@
 	return n
 }
 
-// Ledger is what a box knows of suspects; an immutable value. The zero value knows none.
+// Ledger holds the suspects that a box knows. It is an immutable value; the zero value holds
+// none.
 type Ledger struct {
 	suspects map[Fingerprint]Suspect
 	blocked  map[Fingerprint]bool
 }
 
-// Len is the number of suspects.
+// Len returns the number of suspects.
 func (l Ledger) Len() int { return len(l.suspects) }
 
-// Suspect finds one by its fingerprint.
+// Suspect returns a suspect by its fingerprint.
 func (l Ledger) Suspect(f Fingerprint) (Suspect, bool) {
 	s, ok := l.suspects[f]
 	return s, ok
 }
 
-// Blocked says whether a request is a poison request: it must reach no endpoint.
+// Blocked reports whether a request is a poison request, which must not reach any endpoint.
 func (l Ledger) Blocked(f Fingerprint) bool { return l.blocked[f] }
 
-// AllBlocked lists the poison requests, in order.
+// AllBlocked lists the fingerprints of the poison requests in ascending order.
 func (l Ledger) AllBlocked() []Fingerprint {
 	return slices.SortedFunc(maps.Keys(l.blocked), compareFingerprints)
 }
 
 func compareFingerprints(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) }
 
-// PassedOn lists the suspects that other boxes are told of at a time, in order.
+// PassedOn lists the suspects that are announced to other boxes at a time, ordered by
+// fingerprint.
 func (l Ledger) PassedOn(now time.Time) []Suspect {
 	var out []Suspect
 	for _, s := range l.suspects {
-		if now.Sub(s.Seen) < time.Duration(passedOnShare*float64(Keep)) {
+		if now.Sub(s.Seen) < time.Duration(announceShare*float64(Keep)) {
 			out = append(out, s)
 		}
 	}
@@ -158,48 +162,49 @@
 	return out
 }
 
-// Digest is the same for boxes that pass the same suspects on; 0 is none.
+// Digest returns a hash that is equal for boxes that announce the same suspects; 0 if there are
+// none.
 func (l Ledger) Digest(now time.Time) uint64 {
 	sum := uint64(0)
 	for _, s := range l.PassedOn(now) {
 		starts := make(map[uint64]uint64, len(s.Ends))
 		for _, e := range s.Ends {
 			item := binary.AppendUvarint(s.Fingerprint[:], e.Endpoint)
-			// Boxes do not agree on times to the millisecond, but on their order.
+			// Boxes may record slightly different times, but they agree on the order.
 			starts[e.Endpoint]++
 			item = binary.AppendUvarint(item, starts[e.Endpoint])
 			if e.Cleared {
 				item = append(item, 1)
 			}
-			// A sum does not depend on the order in which boxes learnt of the ends.
+			// A sum does not depend on the order in which boxes learned of the ends.
 			sum += xxhash.Sum64(item)
 		}
 	}
 	return sum
 }
 
-// With returns the ledger after what was learnt of some suspects, here or from another
-// box, and those of them that tell others more. It forgets those seen too long ago.
-func (l Ledger) With(now time.Time, learnt ...Suspect) (Ledger, []Suspect) {
-	next := l.kept(now)
+// With returns the ledger after suspects were reported, by this box or another, and those of
+// them that have news to announce. It drops suspects that have expired.
+func (l Ledger) With(now time.Time, reported ...Suspect) (Ledger, []Suspect) {
+	next := l.unexpired(now)
 	var changed []Suspect
-	for _, s := range learnt {
+	for _, s := range reported {
 		old, known := next[s.Fingerprint]
-		if !known && now.Sub(s.Seen) >= time.Duration(takenShare*float64(Keep)) {
+		if !known && now.Sub(s.Seen) >= time.Duration(acceptShare*float64(Keep)) {
 			continue
 		}
-		joined := Suspect{Fingerprint: s.Fingerprint}.with(old).with(s)
-		next[s.Fingerprint] = joined
-		if joined.tells(old) {
-			changed = append(changed, joined)
+		merged := Suspect{Fingerprint: s.Fingerprint}.merge(old).merge(s)
+		next[s.Fingerprint] = merged
+		if merged.hasNews(old) {
+			changed = append(changed, merged)
 		}
 	}
-	return ledgerOf(next), changed
+	return newLedger(next), changed
 }
 
-// WithAnswered returns the ledger after an endpoint has answered a request whole, and the
-// suspect if that tells others more. A poison request is never answered, so what ended in
-// the middle of this one before ended for another reason.
+// WithAnswered returns the ledger after an endpoint has answered a request completely, and the
+// suspect if that is news to announce. A poison request is never answered, so the endpoints
+// that ended while running this request did so for another reason.
 func (l Ledger) WithAnswered(now time.Time, f Fingerprint) (Ledger, []Suspect) {
 	s, known := l.suspects[f]
 	if !known || s.count() == 0 {
@@ -213,27 +218,27 @@
 	return l.With(now, cleared)
 }
 
-// WithSeen returns the ledger after a suspect came again, and the suspect if that tells
-// others more.
+// WithSeen returns the ledger after a suspect arrived again, and the suspect if that is news to
+// announce.
 func (l Ledger) WithSeen(now time.Time, f Fingerprint) (Ledger, []Suspect) {
 	s, known := l.suspects[f]
-	if !known || now.Sub(s.Seen) < renewed {
+	if !known || now.Sub(s.Seen) < minSeenAdvance {
 		return l, nil
 	}
 	return l.With(now, Suspect{Fingerprint: f, Seen: now})
 }
 
-// Without returns the ledger without the suspects that were seen too long ago.
+// Without returns the ledger without the suspects that have expired.
 func (l Ledger) Without(now time.Time) Ledger {
-	next := l.kept(now)
+	next := l.unexpired(now)
 	if len(next) == len(l.suspects) {
 		return l
 	}
-	return ledgerOf(next)
+	return newLedger(next)
 }
 
-// kept are the suspects that are remembered still; a copy.
-func (l Ledger) kept(now time.Time) map[Fingerprint]Suspect {
+// unexpired returns a copy of the suspects that have not expired.
+func (l Ledger) unexpired(now time.Time) map[Fingerprint]Suspect {
 	out := make(map[Fingerprint]Suspect, len(l.suspects))
 	for f, s := range l.suspects {
 		if now.Sub(s.Seen) < Keep {
@@ -243,10 +248,10 @@
 	return out
 }
 
-// ledgerOf makes a ledger of no more suspects than it may have. Those with the fewest
-// ends go first, and of these the ones that were seen first.
-func ledgerOf(suspects map[Fingerprint]Suspect) Ledger {
-	if over := len(suspects) - MaxSuspects; over > 0 {
+// newLedger returns a ledger of at most MaxSuspects suspects. It evicts those with the fewest
+// ends first, and among these the ones seen longest ago.
+func newLedger(suspects map[Fingerprint]Suspect) Ledger {
+	if excess := len(suspects) - MaxSuspects; excess > 0 {
 		order := slices.SortedFunc(maps.Values(suspects), func(a, b Suspect) int {
 			if n := a.count() - b.count(); n != 0 {
 				return n
@@ -256,9 +261,9 @@
 			}
 			return compareFingerprints(a.Fingerprint, b.Fingerprint)
 		})
-		for _, s := range order[:over] {
+		for _, s := range order[:excess] {
 			delete(suspects, s.Fingerprint)
 		}
 	}
-	return Ledger{suspects: suspects, blocked: blockedOf(suspects, endsToBlock)}
+	return Ledger{suspects: suspects, blocked: findBlocked(suspects, endsToBlock)}
 }
--- a/state/poison/ledger_test.go
+++ b/state/poison/ledger_test.go
@@ -16,18 +16,19 @@
 
 var start = time.Date(2026, 3, 12, 3, 0, 0, 0, time.UTC)
 
-func named(name string) Fingerprint { return FingerprintOf(Request{Target: name}) }
+func fingerprintFor(name string) Fingerprint { return FingerprintOf(Request{Target: name}) }
 
-// ended is a suspect that some endpoints ended under, each after the same time.
-func ended(name string, ran time.Duration, endpoints ...string) Suspect {
-	s := Suspect{Fingerprint: named(name), Seen: start}
+// suspect returns a suspect that was running at some endpoints when they ended, each after the
+// same time.
+func suspect(name string, ran time.Duration, endpoints ...string) Suspect {
+	s := Suspect{Fingerprint: fingerprintFor(name), Seen: start}
 	for _, id := range endpoints {
-		s = s.with(Suspect{Ends: []End{{Endpoint: EndpointOf(id, 0), At: start, Ran: ran}}})
+		s = s.merge(Suspect{Ends: []End{{Endpoint: EndpointOf(id, 0), At: start, Ran: ran}}})
 	}
 	return s
 }
 
-// later is the same some time later.
+// later returns the suspect with its times moved later.
 func later(s Suspect, by time.Duration) Suspect {
 	s.Seen = s.Seen.Add(by)
 	for i := range s.Ends {
@@ -40,8 +41,8 @@
 	var known Ledger
 	for _, endpoint := range []string{"e1", "e2", "e3"} {
 		end := End{Endpoint: EndpointOf(endpoint, 0), At: start, Ran: 50 * time.Millisecond}
-		known, _ = known.With(start, Suspect{Fingerprint: named("poison"), Ends: []End{end}, Seen: start})
-		fmt.Println(endpoint, known.Blocked(named("poison")))
+		known, _ = known.With(start, Suspect{Fingerprint: fingerprintFor("poison"), Ends: []End{end}, Seen: start})
+		fmt.Println(endpoint, known.Blocked(fingerprintFor("poison")))
 	}
 	// Output:
 	// e1 false
@@ -57,22 +58,22 @@
 		later    time.Duration
 		want     []string
 	}{
-		"two ends are not enough":         {suspects: []Suspect{ended("a", soon, "e1", "e2")}},
-		"three are":                       {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3")}, want: []string{"a"}},
-		"one end, told three times":       {suspects: []Suspect{ended("a", soon, "e1"), ended("a", soon, "e1"), ended("a", soon, "e1")}},
-		"ends told by different boxes":    {suspects: []Suspect{ended("a", soon, "e1", "e2"), ended("a", long, "e2", "e3")}, want: []string{"a"}},
-		"one that ran beside, of fewer":   {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3", "e4"), ended("b", soon, "e1", "e2", "e3")}, want: []string{"a"}},
-		"one that ran beside, longer":     {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3"), ended("b", long, "e1", "e2", "e3")}, want: []string{"a"}},
-		"the same the other way round":    {suspects: []Suspect{ended("a", long, "e1", "e2", "e3"), ended("b", soon, "e1", "e2", "e3")}, want: []string{"b"}},
-		"two poison requests":             {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3"), ended("b", soon, "e4", "e5", "e6")}, want: []string{"a", "b"}},
-		"two that share an end":           {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3", "e4"), ended("b", soon, "e4", "e5", "e6", "e7")}, want: []string{"a", "b"}},
-		"one of either":                   {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3"), ended("b", soon, "e4", "e5", "e6"), ended("c", long, "e1", "e4", "e5")}, want: []string{"a", "b"}},
-		"the same again after each start": {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3"), later(ended("b", soon, "e1", "e2", "e3"), 10*time.Second)}, want: []string{"a", "b"}},
-		"one endpoint, three starts":      {suspects: []Suspect{ended("a", soon, "e1"), later(ended("a", soon, "e1"), 5*time.Second), later(ended("a", soon, "e1"), 10*time.Second)}, want: []string{"a"}},
-		"answered since":                  {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3")}, answered: []string{"a"}},
-		"answered, not the one":           {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3")}, answered: []string{"b"}, want: []string{"a"}},
-		"not seen for long":               {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3")}, later: Keep},
-		"not seen for a while":            {suspects: []Suspect{ended("a", soon, "e1", "e2", "e3")}, later: Keep - 1, want: []string{"a"}},
+		"two ends are not enough":         {suspects: []Suspect{suspect("a", soon, "e1", "e2")}},
+		"three are":                       {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3")}, want: []string{"a"}},
+		"one end, reported three times":   {suspects: []Suspect{suspect("a", soon, "e1"), suspect("a", soon, "e1"), suspect("a", soon, "e1")}},
+		"ends from different boxes":       {suspects: []Suspect{suspect("a", soon, "e1", "e2"), suspect("a", long, "e2", "e3")}, want: []string{"a"}},
+		"another with fewer ends":         {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3", "e4"), suspect("b", soon, "e1", "e2", "e3")}, want: []string{"a"}},
+		"another that ran longer":         {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3"), suspect("b", long, "e1", "e2", "e3")}, want: []string{"a"}},
+		"another that ran shorter":        {suspects: []Suspect{suspect("a", long, "e1", "e2", "e3"), suspect("b", soon, "e1", "e2", "e3")}, want: []string{"b"}},
+		"two poison requests":             {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3"), suspect("b", soon, "e4", "e5", "e6")}, want: []string{"a", "b"}},
+		"two poison requests, shared end": {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3", "e4"), suspect("b", soon, "e4", "e5", "e6", "e7")}, want: []string{"a", "b"}},
+		"another next to both":            {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3"), suspect("b", soon, "e4", "e5", "e6"), suspect("c", long, "e1", "e4", "e5")}, want: []string{"a", "b"}},
+		"two at the same endpoints later": {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3"), later(suspect("b", soon, "e1", "e2", "e3"), 10*time.Second)}, want: []string{"a", "b"}},
+		"one endpoint, three starts":      {suspects: []Suspect{suspect("a", soon, "e1"), later(suspect("a", soon, "e1"), 5*time.Second), later(suspect("a", soon, "e1"), 10*time.Second)}, want: []string{"a"}},
+		"answered since":                  {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3")}, answered: []string{"a"}},
+		"another one answered":            {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3")}, answered: []string{"b"}, want: []string{"a"}},
+		"expired":                         {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3")}, later: Keep},
+		"about to expire":                 {suspects: []Suspect{suspect("a", soon, "e1", "e2", "e3")}, later: Keep - 1, want: []string{"a"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -81,12 +82,12 @@
 				known, _ = known.With(start, s)
 			}
 			for _, a := range c.answered {
-				known, _ = known.WithAnswered(start, named(a))
+				known, _ = known.WithAnswered(start, fingerprintFor(a))
 			}
 			known = known.Without(start.Add(c.later))
 			var want []Fingerprint
 			for _, w := range c.want {
-				want = append(want, named(w))
+				want = append(want, fingerprintFor(w))
 			}
 			slices.SortFunc(want, compareFingerprints)
 			if got := known.AllBlocked(); !slices.Equal(got, want) {
@@ -96,78 +97,79 @@
 	}
 }
 
-func TestEndsAfterAnAnswerCountAnew(t *testing.T) {
-	known, _ := Ledger{}.With(start, ended("a", 0, "e1", "e2", "e3"))
-	known, changed := known.WithAnswered(start, named("a"))
-	if len(changed) != 1 || known.Blocked(named("a")) {
+func TestCountRestartsAfterAnswer(t *testing.T) {
+	known, _ := Ledger{}.With(start, suspect("a", 0, "e1", "e2", "e3"))
+	known, changed := known.WithAnswered(start, fingerprintFor("a"))
+	if len(changed) != 1 || known.Blocked(fingerprintFor("a")) {
 		t.Fatal("blocked although it was answered")
 	}
-	if known, _ = known.With(start, ended("a", 0, "e1", "e4", "e5")); known.Blocked(named("a")) {
-		t.Error("an end that another box tells late counts again")
+	if known, _ = known.With(start, suspect("a", 0, "e1", "e4", "e5")); known.Blocked(fingerprintFor("a")) {
+		t.Error("an end that another box reports late counts again")
 	}
-	if known, _ = known.With(start, ended("a", 0, "e6")); !known.Blocked(named("a")) {
+	if known, _ = known.With(start, suspect("a", 0, "e6")); !known.Blocked(fingerprintFor("a")) {
 		t.Error("three ends after the answer do not block")
 	}
 }
 
-func TestSeenAgainIsKept(t *testing.T) {
-	known, _ := Ledger{}.With(start, ended("a", 0, "e1", "e2", "e3"))
+func TestRepeatedSuspectIsKept(t *testing.T) {
+	known, _ := Ledger{}.With(start, suspect("a", 0, "e1", "e2", "e3"))
 	again := start.Add(Keep / 2)
 	for _, name := range []string{"a", "a", "b"} {
-		next, changed := known.WithSeen(again, named(name))
-		if first := name == "a" && known.suspects[named(name)].Seen.Equal(start); (len(changed) > 0) != first {
-			t.Errorf("that %s was seen again is told: %v", name, changed)
+		next, changed := known.WithSeen(again, fingerprintFor(name))
+		if first := name == "a" && known.suspects[fingerprintFor(name)].Seen.Equal(start); (len(changed) > 0) != first {
+			t.Errorf("news after %s was seen again: %v", name, changed)
 		}
 		known = next
 	}
-	if !known.Without(start.Add(Keep)).Blocked(named("a")) {
-		t.Error("forgotten although it came again")
+	if !known.Without(start.Add(Keep)).Blocked(fingerprintFor("a")) {
+		t.Error("dropped although it arrived again")
 	}
 	if known.Without(again.Add(Keep)).Len() != 0 {
-		t.Error("kept for ever")
+		t.Error("never expires")
 	}
 }
 
-func TestOldSuspectsAreNotRemindedOf(t *testing.T) {
-	known, _ := Ledger{}.With(start, ended("a", 0, "e1"))
-	late := start.Add(time.Duration(takenShare * float64(Keep)))
+func TestExpiringSuspectsAreNotExchanged(t *testing.T) {
+	known, _ := Ledger{}.With(start, suspect("a", 0, "e1"))
+	late := start.Add(time.Duration(acceptShare * float64(Keep)))
 	if len(known.PassedOn(late)) != 0 || known.Digest(late) != 0 {
-		t.Error("passed on just before it is forgotten")
+		t.Error("announced just before it expires")
 	}
-	if other, changed := (Ledger{}).With(late, ended("a", 0, "e1")); other.Len() != 0 || len(changed) != 0 {
-		t.Error("taken just before it is forgotten")
+	if other, changed := (Ledger{}).With(late, suspect("a", 0, "e1")); other.Len() != 0 || len(changed) != 0 {
+		t.Error("accepted just before it expires")
 	}
 }
 
 func TestBounds(t *testing.T) {
 	var known Ledger
-	known, _ = known.With(start, ended("blocked", 0, "e1", "e2", "e3"))
+	known, _ = known.With(start, suspect("blocked", 0, "e1", "e2", "e3"))
 	var flood []Suspect
 	for i := range 3 * MaxSuspects {
-		flood = append(flood, ended(fmt.Sprint(i), 0, "e1"))
+		flood = append(flood, suspect(fmt.Sprint(i), 0, "e1"))
 	}
 	for i := range 3 * MaxEnds {
-		flood = append(flood, ended("many", 0, fmt.Sprint("m", i)))
+		flood = append(flood, suspect("many", 0, fmt.Sprint("m", i)))
 	}
 	known, _ = known.With(start, flood...)
 	if known.Len() != MaxSuspects {
 		t.Errorf("%d suspects are kept, want %d", known.Len(), MaxSuspects)
 	}
-	if !known.Blocked(named("blocked")) {
-		t.Error("a poison request was forgotten for others")
+	if !known.Blocked(fingerprintFor("blocked")) {
+		t.Error("a poison request was evicted in favor of others")
 	}
-	if s, _ := known.Suspect(named("many")); len(s.Ends) != MaxEnds || !known.Blocked(named("many")) {
-		t.Errorf("%d ends of one are kept, blocked %v", len(s.Ends), known.Blocked(named("many")))
+	if s, _ := known.Suspect(fingerprintFor("many")); len(s.Ends) != MaxEnds || !known.Blocked(fingerprintFor("many")) {
+		t.Errorf("%d ends of one are kept, blocked %v", len(s.Ends), known.Blocked(fingerprintFor("many")))
 	}
 }
 
-// drawnSuspect is a suspect with some of a few endpoints, some of them cleared.
+// drawnSuspect returns a random suspect of a few endpoints, with some of the ends cleared.
 func drawnSuspect(t *rapid.T) Suspect {
-	s := Suspect{Fingerprint: named(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")), Seen: start}
+	s := Suspect{Fingerprint: fingerprintFor(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")), Seen: start}
 	for _, id := range rapid.SliceOfN(rapid.StringMatching("e[0-9]"), 0, 6).Draw(t, "ends") {
-		s = s.with(Suspect{Ends: []End{{
+		s = s.merge(Suspect{Ends: []End{{
 			Endpoint: EndpointOf(id, 0),
-			// Boxes notice one end up to a second apart, and the next start ends ten later.
+			// Boxes notice the same end up to a second apart; the next start ends ten seconds
+			// later.
 			At: start.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "start"))*10*time.Second +
 				time.Duration(rapid.IntRange(0, 1000).Draw(t, "noticed"))*time.Millisecond),
 			Ran:     time.Duration(rapid.IntRange(0, 3).Draw(t, "ran")),
@@ -177,16 +179,16 @@
 	return s
 }
 
-// TestBoxesAgree draws what boxes learn, in any order and more than once: those that
-// have learnt the same know the same, block the same and have one digest.
+// TestBoxesAgree reports the same random suspects to two ledgers, in different orders and some
+// of them twice. Both must hold and block the same suspects and have the same digest.
 func TestBoxesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		learnt := rapid.SliceOfN(rapid.Custom(drawnSuspect), 0, 12).Draw(t, "learnt")
+		reported := rapid.SliceOfN(rapid.Custom(drawnSuspect), 0, 12).Draw(t, "learnt")
 		var one, other Ledger
-		for _, s := range learnt {
+		for _, s := range reported {
 			one, _ = one.With(start, s)
 		}
-		again := append(slices.Clone(learnt), learnt[:len(learnt)/2]...)
+		again := append(slices.Clone(reported), reported[:len(reported)/2]...)
 		for _, i := range rapid.Permutation(indices(len(again))).Draw(t, "order") {
 			other, _ = other.With(start, again[i])
 		}
@@ -210,153 +212,157 @@
 	return out
 }
 
-// fleet is endpoints with requests under way, some of which a poison request ends.
+// fleet simulates endpoints with requests in flight, some of which a poison request ends.
 type fleet struct {
 	random *rand.Rand
-	// known is what the boxes know. Requests of others run at each endpoint; a
-	// request that was cut runs again elsewhere until it has had its tries.
-	known  Ledger
-	others [][]runs
-	starts int
-	came   int
-	at     time.Duration
+	// known is what the boxes know. Other requests run at each endpoint; one that is
+	// interrupted is retried at another endpoint until it runs out of tries.
+	known   Ledger
+	others  [][]running
+	starts  int
+	arrived int
+	at      time.Duration
 }
 
-// runs is a request that runs at an endpoint.
-type runs struct {
+// running is a request that runs at an endpoint.
+type running struct {
 	name  string
 	since time.Duration
 	tries int
 }
 
 const (
-	fleetSize  = 7
-	besides    = 6
-	mostTries  = 4
-	otherLasts = 1500 * time.Millisecond
+	fleetSize         = 7
+	othersPerEndpoint = 6
+	maxTries          = 4
+	meanDuration      = 1500 * time.Millisecond
 )
 
-// plays are what ends endpoints in ten seconds of a fleet of seven, each with six other
-// requests that take 1.5 s on average.
-var plays = map[string]play{
-	"a poison request":             {poison: 1},
-	"one whose boxes die at times": {poison: 1, unheard: 0.3},
-	"two poison requests":          {poison: 2},
-	"endpoints of their own accord": {
-		accord: 0.4,
+// scenarios says what ends endpoints during ten seconds in a fleet of seven endpoints, each of
+// which runs six other requests that take 1.5 s on average.
+var scenarios = map[string]scenario{
+	"a poison request":      {poison: 1},
+	"one with lost reports": {poison: 1, unreported: 0.3},
+	"two poison requests":   {poison: 2},
+	"spontaneous ends": {
+		spontaneous: 0.4,
 	},
-	"both": {poison: 1, accord: 0.2},
+	"both": {poison: 1, spontaneous: 0.2},
 }
 
-// play says what ends endpoints.
-type play struct {
-	// poison is how many poison requests come, each every 200 ms, and unheard the share
-	// of the ends of which the box that had sent it tells nothing.
-	poison  int
-	unheard float64
-	// accord is the chance that an endpoint ends of its own accord, in each 200 ms.
-	accord float64
+// scenario says what ends endpoints.
+type scenario struct {
+	// poison is the number of poison requests, each of which arrives every 200 ms, and
+	// unreported the share of ends that are never reported by the box that had sent the
+	// request.
+	poison     int
+	unreported float64
+	// spontaneous is the chance that an endpoint ends for other reasons, in each 200 ms.
+	spontaneous float64
 }
 
-// played is what came of a play: how many endpoints poison requests ended, how many other
-// requests came, and how many of these were ever taken for poison.
-type played struct{ lost, came, wrong int }
+// outcome counts the endpoints that poison requests ended, the other requests that arrived, and
+// those of them that were ever classified as poison.
+type outcome struct{ lost, arrived, wrong int }
 
-// run plays it with as many ends needed to block.
-func (p play) run(seed uint64, ends int) played {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), others: make([][]runs, fleetSize)}
+// run simulates the scenario, with a number of ends that are needed to block a request.
+func (p scenario) run(seed uint64, ends int) outcome {
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), others: make([][]running, fleetSize)}
 	wrong, lost := make(map[Fingerprint]bool), 0
 	for step := range 100 {
 		f.at = time.Duration(step) * 100 * time.Millisecond
-		f.renew()
-		blocked := blockedOf(f.known.suspects, ends)
-		if step%2 == 0 && f.random.Float64() < p.accord {
-			f.end(f.random.IntN(fleetSize), "")
+		f.replaceFinished()
+		blocked := findBlocked(f.known.suspects, ends)
+		if step%2 == 0 && f.random.Float64() < p.spontaneous {
+			f.endEndpoint(f.random.IntN(fleetSize), "")
 		}
 		for i := range p.poison {
-			if name := fmt.Sprint("poison", i); step%2 == 0 && !blocked[named(name)] {
-				if f.random.Float64() < p.unheard {
+			if name := fmt.Sprint("poison", i); step%2 == 0 && !blocked[fingerprintFor(name)] {
+				if f.random.Float64() < p.unreported {
 					name = ""
 				}
-				f.end(f.random.IntN(fleetSize), name)
+				f.endEndpoint(f.random.IntN(fleetSize), name)
 				lost++
 			}
 		}
-		for fingerprint := range blockedOf(f.known.suspects, ends) {
-			if fingerprint != named("poison0") && fingerprint != named("poison1") {
+		for fingerprint := range findBlocked(f.known.suspects, ends) {
+			if fingerprint != fingerprintFor("poison0") && fingerprint != fingerprintFor("poison1") {
 				wrong[fingerprint] = true
 			}
 		}
 	}
-	return played{lost: lost, came: f.came, wrong: len(wrong)}
+	return outcome{lost: lost, arrived: f.arrived, wrong: len(wrong)}
 }
 
-// renew ends what has run for long enough, and has others come in its place.
-func (f *fleet) renew() {
+// replaceFinished finishes requests that have run long enough, and starts others in their
+// place.
+func (f *fleet) replaceFinished() {
 	for e := range f.others {
-		f.others[e] = slices.DeleteFunc(f.others[e], func(r runs) bool {
-			over := f.random.Float64() < float64(100*time.Millisecond)/float64(otherLasts)
-			if over {
-				f.known, _ = f.known.WithAnswered(start.Add(f.at), named(r.name))
+		f.others[e] = slices.DeleteFunc(f.others[e], func(r running) bool {
+			finished := f.random.Float64() < float64(100*time.Millisecond)/float64(meanDuration)
+			if finished {
+				f.known, _ = f.known.WithAnswered(start.Add(f.at), fingerprintFor(r.name))
 			}
-			return over
+			return finished
 		})
-		for len(f.others[e]) < besides {
-			f.came++
-			f.others[e] = append(f.others[e], runs{name: fmt.Sprint(f.came), since: f.at, tries: 1})
+		for len(f.others[e]) < othersPerEndpoint {
+			f.arrived++
+			f.others[e] = append(f.others[e], running{name: fmt.Sprint(f.arrived), since: f.at, tries: 1})
 		}
 	}
 }
 
-// end ends an endpoint, under a request if one is named. What else ran there goes elsewhere.
-func (f *fleet) end(at int, poison string) {
+// endEndpoint ends an endpoint, because of a poison request if one is given. The other requests
+// that ran there are retried elsewhere.
+func (f *fleet) endEndpoint(at int, poison string) {
 	f.starts++
 	endpoint, now := EndpointOf(fmt.Sprint(f.starts), 0), start.Add(f.at)
 	record := func(name string, ran time.Duration) {
-		f.known, _ = f.known.With(now, Suspect{Fingerprint: named(name), Ends: []End{{Endpoint: endpoint, At: now, Ran: ran}}, Seen: now})
+		f.known, _ = f.known.With(now, Suspect{Fingerprint: fingerprintFor(name), Ends: []End{{Endpoint: endpoint, At: now, Ran: ran}}, Seen: now})
 	}
 	if poison != "" {
 		record(poison, 50*time.Millisecond)
 	}
-	cut := f.others[at]
+	interrupted := f.others[at]
 	f.others[at] = nil
-	for _, r := range cut {
+	for _, r := range interrupted {
 		record(r.name, f.at-r.since+50*time.Millisecond)
-		if r.tries < mostTries {
+		if r.tries < maxTries {
 			to := (at + 1 + f.random.IntN(fleetSize-1)) % fleetSize
-			f.others[to] = append(f.others[to], runs{name: r.name, since: f.at, tries: r.tries + 1})
+			f.others[to] = append(f.others[to], running{name: r.name, since: f.at, tries: r.tries + 1})
 		}
 	}
 }
 
-// BenchmarkSpared weighs how many ends it takes: how many endpoints poison requests end,
-// and how many of the others that came are taken for one.
-func BenchmarkSpared(b *testing.B) {
-	for name, p := range plays {
+// BenchmarkEndsToBlock compares numbers of ends that block a request: how many endpoints poison
+// requests end, and how many other requests are classified as poison.
+func BenchmarkEndsToBlock(b *testing.B) {
+	for name, p := range scenarios {
 		for _, ends := range []int{1, 2, 3, 4} {
 			b.Run(fmt.Sprintf("%s/ends=%d", name, ends), func(b *testing.B) {
-				var sum played
-				plays := 0
+				var sum outcome
+				count := 0
 				for b.Loop() {
 					for seed := range uint64(200) {
 						r := p.run(seed, ends)
-						sum.lost, sum.came, sum.wrong = sum.lost+r.lost, sum.came+r.came, sum.wrong+r.wrong
-						plays++
+						sum.lost, sum.arrived, sum.wrong = sum.lost+r.lost, sum.arrived+r.arrived, sum.wrong+r.wrong
+						count++
 					}
 				}
-				b.ReportMetric(float64(sum.lost)/float64(plays), "endpoints/play")
-				b.ReportMetric(float64(sum.wrong)/float64(plays), "others/play")
-				b.ReportMetric(float64(sum.came)/float64(plays), "came/play")
+				b.ReportMetric(float64(sum.lost)/float64(count), "endpoints/run")
+				b.ReportMetric(float64(sum.wrong)/float64(count), "others/run")
+				b.ReportMetric(float64(sum.arrived)/float64(count), "arrived/run")
 			})
 		}
 	}
 }
 
-// TestSpared holds what endsToBlock was chosen for.
-func TestSpared(t *testing.T) {
+// TestOthersAreNotBlocked checks the property that endsToBlock was chosen for: a poison request
+// ends no more endpoints than that, and no other request is blocked.
+func TestOthersAreNotBlocked(t *testing.T) {
 	for seed := range uint64(200) {
-		if r := plays["a poison request"].run(seed, endsToBlock); r.lost != endsToBlock || r.wrong > 0 {
-			t.Errorf("seed %d: %d endpoints ended and %d others were taken for poison", seed, r.lost, r.wrong)
+		if r := scenarios["a poison request"].run(seed, endsToBlock); r.lost != endsToBlock || r.wrong > 0 {
+			t.Errorf("seed %d: %d endpoints ended and %d others were classified as poison", seed, r.lost, r.wrong)
 		}
 	}
 }
--- a/state/quota/purse.go
+++ b/state/quota/purse.go
@@ -8,83 +8,82 @@
 	"time"
 )
 
-// Purse is what one box was lent of one account's quota. It is an immutable
+// Purse holds the tokens of one account's quota that were lent to one box. It is an immutable
 // value; the zero value is empty.
 type Purse struct {
-	left float64
-	ends time.Duration
-	// used decays by half in each loan life, as of at.
+	balance float64
+	expires time.Duration
+	// used is the recent use in units, as of at; it decays by half in each loan life.
 	used float64
 	at   time.Duration
 }
 
-// WithSpent takes a cost out of the purse. What the purse lacks of it is returned
-// and has to be asked for: what lies in a purse is never set against less than
-// it is, so that no more than one loan ahead of need gathers in a box.
+// WithSpent takes a cost out of the purse and returns the part that the purse lacks, which the
+// box has to ask for. A cost is always charged to the balance first, so a box never accumulates
+// more than one loan ahead of need.
 func (p Purse) WithSpent(now time.Duration, cost float64) (Purse, float64) {
-	if now >= p.ends {
-		p.left = 0
+	if now >= p.expires {
+		p.balance = 0
 	}
-	taken := min(p.left, cost)
-	p.left -= taken
+	taken := min(p.balance, cost)
+	p.balance -= taken
 	return p, cost - taken
 }
 
-// WithLent adds what was lent and ends one life after it was asked for.
-func (p Purse) WithLent(asked time.Duration, units float64, life time.Duration) Purse {
+// WithLent adds a loan, which expires one life after it was requested.
+func (p Purse) WithLent(requested time.Duration, units float64, life time.Duration) Purse {
 	if units <= 0 || life <= 0 {
 		return p
 	}
-	if asked >= p.ends {
-		p.left = 0
+	if requested >= p.expires {
+		p.balance = 0
 	}
-	p.left += units
-	p.ends = max(p.ends, asked+life)
+	p.balance += units
+	p.expires = max(p.expires, requested+life)
 	return p
 }
 
-// WithReturned puts back what was taken out of it, if it has not ended meanwhile.
+// WithReturned puts back units that were taken out, unless the loan has expired meanwhile.
 func (p Purse) WithReturned(now time.Duration, units float64) Purse {
-	if now < p.ends {
-		p.left += units
+	if now < p.expires {
+		p.balance += units
 	}
 	return p
 }
 
-// WithUse notes what the box's requests use of the account, so that the next
-// loan can be as large as the use in one life.
+// WithUse counts what the box's requests use of the account. Ahead sizes the next loan by it.
 func (p Purse) WithUse(now time.Duration, cost float64, life time.Duration) Purse {
-	p.used = p.recent(now, life) + cost
+	p.used = p.recentUse(now, life) + cost
 	p.at = now
 	return p
 }
 
-func (p Purse) recent(now, life time.Duration) float64 {
+func (p Purse) recentUse(now, life time.Duration) float64 {
 	if life <= 0 {
 		return 0
 	}
 	return p.used * math.Exp2(-max(now-p.at, 0).Seconds()/life.Seconds())
 }
 
-// Ahead is how much the box should ask for ahead of need: what it uses in one
-// life at its present rate. One use decays to half in a life, so the sum of a
-// steady use is 1/ln 2 of it.
+// Ahead returns how much the box should ask for ahead of need: what it uses in one life at its
+// current rate. A single use decays to half in a life, so for a steady use the decayed sum is
+// 1/ln 2 times the use per life.
 func (p Purse) Ahead(now, life time.Duration) float64 {
-	return p.recent(now, life) * math.Ln2
+	return p.recentUse(now, life) * math.Ln2
 }
 
-// Left is what may still be spent, in units.
+// Left returns the units that may still be spent.
 func (p Purse) Left(now time.Duration) float64 {
-	if now >= p.ends {
+	if now >= p.expires {
 		return 0
 	}
-	return p.left
+	return p.balance
 }
 
-// Idle says that the purse holds nothing worth keeping.
+// Idle reports whether the purse holds nothing worth keeping.
 func (p Purse) Idle(now, life time.Duration) bool {
-	return now >= p.ends && now-p.at > idleLives*max(life, time.Second)
+	return now >= p.expires && now-p.at > idleLives*max(life, time.Second)
 }
 
-// idleLives is after how many lives without use a purse is dropped.
+// idleLives is the number of loan lives without use after which a purse is dropped.
 const idleLives = 30
--- a/state/quota/quota_test.go
+++ b/state/quota/quota_test.go
@@ -27,51 +27,51 @@
 	lends := quota.Terms{Rate: 100, Burst: 50, Lends: true}
 	cases := map[string]struct {
 		terms quota.Terms
-		// rest is how long the bucket fills before the need.
-		rest time.Duration
-		need quota.Need
-		want quota.Decision
-		left float64
+		// idle is how long the bucket refills before the need.
+		idle  time.Duration
+		need  quota.Need
+		want  quota.Decision
+		level float64
 	}{
 		"a new home has nothing":          {terms, 0, quota.Need{Cost: 10, Patience: s}, quota.Decision{RetryAfter: s / 10}, 0},
 		"a new home has its start":        {quota.Terms{Rate: 100, Burst: 50, Start: 30}, 0, quota.Need{Cost: 10}, quota.Decision{Admitted: true}, 20},
 		"no start beyond the burst":       {quota.Terms{Rate: 100, Burst: 50, Start: 300}, 0, quota.Need{Cost: 10}, quota.Decision{Admitted: true}, 40},
-		"what has gathered is given":      {terms, s / 5, quota.Need{Cost: 10}, quota.Decision{Admitted: true}, 10},
-		"no more than the burst gathers":  {terms, 10 * s, quota.Need{Cost: 10}, quota.Decision{Admitted: true}, 40},
-		"a short wait is waited":          {terms, s / 10, quota.Need{Cost: 20, Wait: s / 5}, quota.Decision{Admitted: true, Wait: s / 10}, -10},
+		"accumulated tokens are granted":  {terms, s / 5, quota.Need{Cost: 10}, quota.Decision{Admitted: true}, 10},
+		"no more than the burst":          {terms, 10 * s, quota.Need{Cost: 10}, quota.Decision{Admitted: true}, 40},
+		"a short wait is accepted":        {terms, s / 10, quota.Need{Cost: 20, Wait: s / 5}, quota.Decision{Admitted: true, Wait: s / 10}, -10},
 		"a longer one is not":             {terms, s / 10, quota.Need{Cost: 40, Wait: s / 5, Patience: s}, quota.Decision{RetryAfter: 3 * s / 10}, 10},
 		"no longer than a caller accepts": {terms, 0, quota.Need{Cost: 50, Patience: s / 10}, quota.Decision{RetryAfter: s / 10}, 0},
 		"more than the burst, when full":  {terms, s, quota.Need{Cost: 200}, quota.Decision{Admitted: true}, -150},
 		"more than the burst, not full":   {terms, s / 4, quota.Need{Cost: 200, Patience: s}, quota.Decision{RetryAfter: s / 4}, 25},
-		"nothing is lent ahead by halves": {terms, s, quota.Need{Cost: 10, More: 10}, quota.Decision{Admitted: true}, 40},
-		"what is asked for is lent ahead": {lends, s, quota.Need{Cost: 10, More: 10}, quota.Decision{Admitted: true, More: 10}, 30},
+		"terms without loans":             {terms, s, quota.Need{Cost: 10, More: 10}, quota.Decision{Admitted: true}, 40},
+		"tokens are lent ahead of need":   {lends, s, quota.Need{Cost: 10, More: 10}, quota.Decision{Admitted: true, More: 10}, 30},
 		"half of the burst is kept back":  {lends, s, quota.Need{Cost: 10, More: 40}, quota.Decision{Admitted: true, More: 15}, 25},
 		"nothing ahead near the limit":    {lends, s / 5, quota.Need{Cost: 10, More: 10}, quota.Decision{Admitted: true}, 10},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey(name, t, func() {
-				b := quota.Bucket{}.WithTime(0, c.terms).WithTime(c.rest, c.terms)
+				b := quota.Bucket{}.WithTime(0, c.terms).WithTime(c.idle, c.terms)
 				b, got := b.WithNeed(c.need, c.terms)
 				convey.So(got, convey.ShouldResemble, c.want)
-				convey.So(b.Level(), convey.ShouldAlmostEqual, c.left)
+				convey.So(b.Level(), convey.ShouldAlmostEqual, c.level)
 			})
 		})
 	}
 }
 
-func TestReturnsAreSpread(t *testing.T) {
-	convey.Convey("Each refused caller is told a time after the one before, as long as callers accept it", t, func() {
+func TestRetriesAreSpread(t *testing.T) {
+	convey.Convey("Each refused caller is told a later time than the one before, up to its patience", t, func() {
 		terms := quota.Terms{Rate: 100, Burst: 50}
 		b := quota.Bucket{}.WithTime(0, terms)
 		need := quota.Need{Cost: 10, Patience: s / 4}
-		var told []time.Duration
+		var retryAfter []time.Duration
 		for range 4 {
 			var d quota.Decision
 			b, d = b.WithNeed(need, terms)
-			told = append(told, d.RetryAfter)
+			retryAfter = append(retryAfter, d.RetryAfter)
 		}
-		convey.So(told, convey.ShouldResemble, []time.Duration{s / 10, s / 5, s / 4, s / 4})
+		convey.So(retryAfter, convey.ShouldResemble, []time.Duration{s / 10, s / 5, s / 4, s / 4})
 	})
 }
 
@@ -108,7 +108,7 @@
 
 func TestPurse(t *testing.T) {
 	const life = 800 * time.Millisecond
-	convey.Convey("A purse is spent, ends, and takes back what was not used", t, func() {
+	convey.Convey("A purse is spent, expires, and takes back what was not used", t, func() {
 		p := quota.Purse{}.WithLent(0, 100, life)
 		p, lacks := p.WithSpent(life/2, 30)
 		convey.So(lacks, convey.ShouldEqual, 0)
@@ -121,11 +121,11 @@
 		_, lacks = p.WithSpent(life, 10)
 		convey.So(lacks, convey.ShouldEqual, 10)
 	})
-	convey.Convey("A loan does not take along what ended before it", t, func() {
+	convey.Convey("A new loan does not revive an expired balance", t, func() {
 		p := quota.Purse{}.WithLent(0, 100, life).WithLent(2*life, 10, life)
 		convey.So(p.Left(2*life), convey.ShouldEqual, 10)
 	})
-	convey.Convey("A steady use asks for about one life of itself ahead", t, func() {
+	convey.Convey("A steady use asks ahead for about what it uses in one life", t, func() {
 		p := quota.Purse{}
 		for i := range 200 {
 			p = p.WithUse(time.Duration(i)*life/10, 10, life)
@@ -134,8 +134,8 @@
 	})
 }
 
-// TestOracleBucket holds any sequence of needs against an exact count of every
-// window: with one home, no window has more than rate and burst.
+// TestOracleBucket checks random sequences of needs against an exact count over every window:
+// with one home, no window has more than rate and burst allow.
 func TestOracleBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := quota.Terms{
@@ -165,7 +165,7 @@
 			sum := 0.0
 			for _, u := range uses[i:] {
 				sum += u.cost
-				// A request above the burst is admitted by a full bucket alone.
+				// A request larger than the burst is only admitted by a full bucket.
 				allowed := terms.Rate*(u.at-first.at).Seconds() + max(terms.Burst, largest)
 				if sum > allowed+1e-6 {
 					t.Fatalf("from %v to %v %f units, allowed %f", first.at, u.at, sum, allowed)
--- a/state/rank/near_test.go
+++ b/state/rank/near_test.go
@@ -22,7 +22,7 @@
 	os.Exit(seed.Run(m, 200))
 }
 
-// sixZones are two regions of three zones.
+// sixZones returns two regions of three zones each.
 func sixZones() locality.Map {
 	regions := make(map[string]string)
 	for i := range 6 {
@@ -31,8 +31,8 @@
 	return locality.New(regions)
 }
 
-// inTurn puts boxes into zones, one after the other.
-func inTurn(boxes []string, zones int) map[string]string {
+// roundRobin assigns boxes to zones in turn.
+func roundRobin(boxes []string, zones int) map[string]string {
 	out := make(map[string]string, len(boxes))
 	for i, b := range boxes {
 		out[b] = fmt.Sprint("zone-", i%zones)
@@ -40,7 +40,7 @@
 	return out
 }
 
-// keysOf are so many keys of each zone, and two of each region as a whole.
+// keysOf returns perZone keys of each zone, and two of each region as a whole.
 func keysOf(regions locality.Map, perZone int) []rank.Key {
 	var out []rank.Key
 	for i := range 6 {
@@ -57,11 +57,11 @@
 	return out
 }
 
-// TestBoxWithoutAZone holds that a box whose zone is not known is not taken for near to
-// the groups that are no zone's.
+// TestBoxWithoutAZone checks that a box whose zone is unknown does not count as near to the
+// groups that belong to a whole region.
 func TestBoxWithoutAZone(t *testing.T) {
 	boxes := names("box-%d", 12)
-	zones := inTurn(boxes, 6)
+	zones := roundRobin(boxes, 6)
 	delete(zones, boxes[0])
 	ranked := rank.Of(boxes).In(zones, sixZones())
 	for _, name := range names("plain-%d", 20) {
@@ -75,30 +75,30 @@
 	}
 }
 
-// TestStandIns holds that a group whose zone loses all its boxes at once has a box to
-// ask within its region, and that the order is that of the rank but for this one.
+// TestStandIns checks that a group whose zone loses all its boxes at once still has a box to
+// ask within its region, and that the order otherwise follows the rank.
 func TestStandIns(t *testing.T) {
 	regions := sixZones()
 	boxes := names("box-%d", 60)
-	zones := inTurn(boxes, 6)
+	zones := roundRobin(boxes, 6)
 	ranked := rank.Of(boxes).In(zones, regions)
 	for _, key := range keysOf(regions, 20) {
 		order := ranked.Nearest(key, len(boxes))
 		got := ranked.StandIns(key, order[0], 2)
 		if len(got) != 2 || got[0] != order[1] || slices.Contains(got, order[0]) {
-			t.Fatalf("%v stand in for %s, the rank is %v", got, order[0], order)
+			t.Fatalf("%v replace %s, the rank order is %v", got, order[0], order)
 		}
 		last := zones[got[1]]
 		if last == key.Zone || regions.Region(last) != key.Region {
-			t.Fatalf("the last that stands in for %+v is in %s", key, last)
+			t.Fatalf("the last replacement for %+v is in %s", key, last)
 		}
 		one := rank.Of(boxes).In(zones, locality.Map{})
 		if in := one.StandIns(key, "", 3); !slices.Equal(in, one.First(key.Name, 3)) {
-			t.Fatalf("%v stand in within one region, want the first in rank", in)
+			t.Fatalf("%v replace the home within one region, want the first in rank", in)
 		}
 	}
 	if few := rank.Of(boxes[:2]).StandIns(rank.Key{Name: "k"}, boxes[0], 2); !slices.Equal(few, boxes[1:2]) {
-		t.Errorf("of two boxes %v stand in for the first", few)
+		t.Errorf("of two boxes %v replace the first", few)
 	}
 }
 
@@ -108,15 +108,15 @@
 	boxes := rank.Of([]string{"a", "b", "c", "d", "e", "f"}).In(zones, regions)
 	cases := map[string]struct {
 		key rank.Key
-		// first are boxes that stand before all others.
+		// first lists the boxes that come before all others.
 		first []string
 	}{
-		"boxes of the zone first":   {key: rank.Key{Name: "k", Zone: "zone-0", Region: "region-0"}, first: []string{"a", "b"}},
-		"then those of the region":  {key: rank.Key{Name: "k", Zone: "zone-0", Region: "region-0"}, first: []string{"a", "b", "c"}},
-		"a whole region's key":      {key: rank.Key{Name: "k", Region: "region-1"}, first: []string{"d", "e"}},
-		"a zone without boxes":      {key: rank.Key{Name: "k", Zone: "zone-5", Region: "region-1"}, first: []string{"d", "e"}},
-		"a region without boxes":    {key: rank.Key{Name: "k", Zone: "z", Region: "region-2"}, first: rank.Of(boxes.Names()).Order("k")},
-		"a key that belongs to all": {key: rank.Key{Name: "k"}, first: rank.Of(boxes.Names()).Order("k")},
+		"boxes of the zone first":  {key: rank.Key{Name: "k", Zone: "zone-0", Region: "region-0"}, first: []string{"a", "b"}},
+		"then those of the region": {key: rank.Key{Name: "k", Zone: "zone-0", Region: "region-0"}, first: []string{"a", "b", "c"}},
+		"a key of a whole region":  {key: rank.Key{Name: "k", Region: "region-1"}, first: []string{"d", "e"}},
+		"a zone without boxes":     {key: rank.Key{Name: "k", Zone: "zone-5", Region: "region-1"}, first: []string{"d", "e"}},
+		"a region without boxes":   {key: rank.Key{Name: "k", Zone: "z", Region: "region-2"}, first: rank.Of(boxes.Names()).Order("k")},
+		"a key without a region":   {key: rank.Key{Name: "k"}, first: rank.Of(boxes.Names()).Order("k")},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -131,8 +131,7 @@
 	}
 }
 
-// TestOneRegionAssigns holds that a fleet in one region has the homes that it has
-// without regions named.
+// TestOneRegionAssigns checks that naming the only region of a fleet does not change its homes.
 func TestOneRegionAssigns(t *testing.T) {
 	one := locality.New(map[string]string{"zone-0": "a", "zone-1": "a", "zone-2": "a"})
 	boxes := names("front-%d", 50)
@@ -140,21 +139,21 @@
 	for i, name := range names("lm/zone#%d", 90) {
 		keys = append(keys, rank.Key{Name: name, Zone: fmt.Sprint("zone-", i%3), Region: "a"})
 	}
-	near := rank.Of(boxes).In(inTurn(boxes, 3), one)
+	near := rank.Of(boxes).In(roundRobin(boxes, 3), one)
 	want, got := rank.Of(boxes).Assign(names("lm/zone#%d", 90)), near.AssignNear(keys)
 	for _, key := range keys {
 		if got[key.Name] != want[key.Name] {
 			t.Errorf("key %s has home %s, without regions %s", key.Name, got[key.Name], want[key.Name])
 		}
 		if !slices.Equal(near.Nearest(key, 3), rank.Of(boxes).First(key.Name, 3)) {
-			t.Errorf("key %s has another rank", key.Name)
+			t.Errorf("key %s has another rank order", key.Name)
 		}
 	}
 }
 
-// TestOracleAssignNear holds that each key has a home, in its own region where this
-// has boxes; that no box has more than its even share of all keys or of its region's;
-// and that boxes that know the same agree.
+// TestOracleAssignNear checks that each key has a home, in its own region if that has boxes;
+// that no box has more than its even share of all keys or of its region's keys; and that the
+// order of the boxes does not matter.
 func TestOracleAssignNear(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regions := sixZones()
@@ -170,7 +169,7 @@
 		}
 		keys := keysOf(regions, rapid.IntRange(0, 12).Draw(t, "keys"))
 		homes := rank.Of(boxes).In(zones, regions).AssignNear(keys)
-		ofRegion, loads := make(map[string]int), make(map[string]int)
+		keysIn, loads := make(map[string]int), make(map[string]int)
 		for _, key := range keys {
 			home, there := homes[key.Name]
 			if !there {
@@ -179,20 +178,20 @@
 			if at := regions.Region(zones[home]); at != key.Region && inRegion[key.Region] > 0 {
 				t.Fatalf("key %s of %s has its home in %q", key.Name, key.Region, at)
 			}
-			ofRegion[key.Region]++
+			keysIn[key.Region]++
 			loads[home]++
 		}
 		for box, n := range loads {
 			region := regions.Region(zones[box])
 			share := (len(keys) + len(boxes) - 1) / len(boxes)
-			own := (ofRegion[region] + inRegion[region] - 1) / inRegion[region]
+			own := (keysIn[region] + inRegion[region] - 1) / inRegion[region]
 			if n > max(share, own) {
-				t.Fatalf("box %s has %d keys, its share is %d of all and %d of its region's", box, n, share, own)
+				t.Fatalf("box %s has %d keys, want at most %d of all or %d of its region's", box, n, share, own)
 			}
 		}
-		turned := slices.Clone(boxes)
-		slices.Reverse(turned)
-		for key, home := range rank.Of(turned).In(zones, regions).AssignNear(keys) {
+		reversed := slices.Clone(boxes)
+		slices.Reverse(reversed)
+		for key, home := range rank.Of(reversed).In(zones, regions).AssignNear(keys) {
 			if homes[key] != home {
 				t.Fatalf("key %s has home %s by one order of the boxes and %s by another", key, homes[key], home)
 			}
@@ -200,7 +199,7 @@
 	})
 }
 
-// byRegionAlone assigns without regard to zones.
+// byRegionAlone assigns keys by region, ignoring zones.
 func byRegionAlone(keys []rank.Key, boxes []string, zones map[string]string, regions locality.Map) map[string]string {
 	keys = slices.Clone(keys)
 	for i := range keys {
@@ -209,8 +208,8 @@
 	return rank.Of(boxes).In(zones, regions).AssignNear(keys)
 }
 
-// weighted assigns by rendezvous hashing with weights: a box of the zone counts for
-// 16, one of the region for 4, another for 1.
+// weighted assigns keys by rendezvous hashing with weights: 16 for a box of the zone, 4 for a
+// box of the region, 1 for all others.
 func weighted(keys []rank.Key, boxes []string, zones map[string]string, regions locality.Map) map[string]string {
 	out := make(map[string]string)
 	for _, key := range keys {
@@ -241,13 +240,13 @@
 	return rank.Of(boxes).AssignNear(keys)
 }
 
-// TestWaysToAssignNear measures each way: which part of the keys has its home in
-// another zone and in another region, which moves without need when a box goes, and
-// the load of the busiest box. It holds that the one that is built leaves no key's
-// region and keeps its bounds.
-func TestWaysToAssignNear(t *testing.T) {
-	type way func([]rank.Key, []string, map[string]string, locality.Map) map[string]string
-	ways := map[string]way{"by hash alone": byHash, "region first": byRegionAlone, "zone, then region": nearest, "weights": weighted}
+// TestCompareNearAssignments measures for each algorithm the share of keys whose homes are in
+// another zone and in another region, the share that moves needlessly when a box leaves, and
+// the load of the busiest box. It checks that the algorithm in use keeps keys in their region
+// and moves few.
+func TestCompareNearAssignments(t *testing.T) {
+	type algorithm func([]rank.Key, []string, map[string]string, locality.Map) map[string]string
+	algorithms := map[string]algorithm{"by hash alone": byHash, "region first": byRegionAlone, "zone, then region": nearest, "weights": weighted}
 	fleets := map[string]struct{ boxes, perZone int }{
 		"78 boxes, 40 keys":   {78, 6},
 		"300 boxes, 388 keys": {300, 64},
@@ -255,8 +254,8 @@
 	regions := sixZones()
 	for fleet, size := range fleets {
 		boxes, keys := names("front-%d", size.boxes), keysOf(regions, size.perZone)
-		zones := inTurn(boxes, 6)
-		for name, assign := range ways {
+		zones := roundRobin(boxes, 6)
+		for name, assign := range algorithms {
 			before := assign(keys, boxes, zones, regions)
 			otherZone, otherRegion, moved := 0.0, 0.0, 0.0
 			for _, key := range keys {
@@ -276,14 +275,14 @@
 					}
 				}
 			}
-			most := busiest(before, len(boxes))
-			t.Logf("%s, %s: %.2f in another zone, %.2f in another region, %.4f move without need, busiest box %.2f of the mean",
-				fleet, name, otherZone, otherRegion, moved, most)
+			load := busiest(before, len(boxes))
+			t.Logf("%s, %s: %.2f in another zone, %.2f in another region, %.4f move needlessly, busiest box %.2f of the mean",
+				fleet, name, otherZone, otherRegion, moved, load)
 			if name != "zone, then region" {
 				continue
 			}
 			if otherRegion > 0 || moved > 0.02 {
-				t.Errorf("%s: %.2f of the keys in another region, %.4f move without need", fleet, otherRegion, moved)
+				t.Errorf("%s: %.2f of the keys in another region, %.4f move needlessly", fleet, otherRegion, moved)
 			}
 		}
 	}
--- a/state/rank/orders_test.go
+++ b/state/rank/orders_test.go
@@ -8,28 +8,28 @@
 	"testing"
 )
 
-// TestOrdersAreBounded holds that an order is worked out once while it is remembered,
-// and that keys without number do not grow what is.
+// TestOrdersAreBounded checks that an order is computed once while it is cached, and that an
+// unlimited number of keys does not grow the cache beyond maxOrders.
 func TestOrdersAreBounded(t *testing.T) {
 	var o Orders
-	worked := 0
-	work := func() []string {
-		worked++
+	computed := 0
+	compute := func() []string {
+		computed++
 		return []string{"a"}
 	}
 	for range 3 {
-		o.Of("k", work)
+		o.Of("k", compute)
 	}
-	if worked != 1 {
-		t.Errorf("worked out %d times, want once", worked)
+	if computed != 1 {
+		t.Errorf("computed %d times, want once", computed)
 	}
 	for i := range 10 * maxOrders {
-		o.Of(fmt.Sprint("key-", i), work)
-		if len(o.known) > maxOrders {
-			t.Fatalf("%d orders are remembered, at most %d may be", len(o.known), maxOrders)
+		o.Of(fmt.Sprint("key-", i), compute)
+		if len(o.cached) > maxOrders {
+			t.Fatalf("%d orders are cached, want at most %d", len(o.cached), maxOrders)
 		}
 	}
-	if order := o.Of("k", work); len(order) != 1 || order[0] != "a" {
-		t.Errorf("order %v after it was forgotten", order)
+	if order := o.Of("k", compute); len(order) != 1 || order[0] != "a" {
+		t.Errorf("order %v after it was evicted, want [a]", order)
 	}
 }
--- a/state/rank/rank.go
+++ b/state/rank/rank.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package rank orders boxes for the duties that belong to a key, by rendezvous
-// hashing (Thaler, Ravishankar, 1998): boxes that know the same others agree, and
-// one that comes or goes moves only what it ranks first for.
+// Package rank orders boxes by rendezvous hashing (Thaler, Ravishankar, 1998), to assign the
+// duties that belong to a key. Boxes that know the same set of boxes agree on the order, and a
+// box that joins or leaves only moves the keys that rank it first.
 package rank
 
 import (
@@ -16,23 +16,24 @@
 	"runridge.example/runridge/state/locality"
 )
 
-// Boxes are the boxes that are ranked. It is an immutable value.
+// Boxes is the set of boxes that are ranked. It is an immutable value.
 type Boxes struct {
 	names  []string
 	hashes []uint64
-	// zones are the boxes' availability zones, where these are known.
+	// zones holds the availability zone of each box, empty if unknown. It is nil if zones don't
+	// count.
 	zones   []string
 	regions locality.Map
 }
 
-// Key is what boxes are ranked for: where its name's duty belongs. A key without a
-// region belongs nowhere in particular.
+// Key is what boxes are ranked for: the name of a duty, and where the duty belongs. A key
+// without a region belongs to no particular place.
 type Key struct {
 	Name, Zone, Region string
 }
 
-// Of takes the names of the boxes. They are hashed once, so that ranking 300 of
-// them for 640 keys takes 0.8 ms, and not 44 (BenchmarkAssign).
+// Of returns the set of boxes with the given names. It hashes each name once: ranking 300 boxes
+// for 640 keys takes 0.8 ms that way instead of 44 ms (BenchmarkAssign).
 func Of(names []string) Boxes {
 	b := Boxes{names: names, hashes: make([]uint64, len(names))}
 	for i, name := range names {
@@ -41,8 +42,8 @@
 	return b
 }
 
-// In says in which zone each box stands, by name. It counts where there are several
-// regions: within one a message takes about a millisecond, and an order by hash
+// In returns the boxes with the zone of each box, by name. Zones only count if there are
+// several regions: within one region a message takes about a millisecond, and an order by hash
 // alone spreads duties best.
 func (b Boxes) In(zones map[string]string, regions locality.Map) Boxes {
 	if !regions.Several() {
@@ -56,8 +57,8 @@
 	return b
 }
 
-// distance is how far a box is from where a key belongs; all are equally far where
-// that is not known.
+// distance returns how far a box is from the place of a key. All boxes are equally far if that
+// place is unknown.
 func (b Boxes) distance(box int, key Key) locality.Distance {
 	switch {
 	case b.zones == nil || key.Region == "":
@@ -71,16 +72,16 @@
 	}
 }
 
-// Names are the boxes as they were given.
+// Names returns the names of the boxes in the given order.
 func (b Boxes) Names() []string { return b.names }
 
-// Same says whether two values hold the same boxes, in any order.
+// Same reports whether two sets hold the same boxes, in any order.
 func (b Boxes) Same(o Boxes) bool {
 	return slices.Equal(slices.Sorted(slices.Values(b.names)), slices.Sorted(slices.Values(o.names)))
 }
 
-// score is the weight of a box for a key: the two hashes, mixed so that each bit
-// depends on all of both (the finalizer of SplitMix64).
+// score returns the rendezvous score of a box for a key: both hashes, mixed so that each bit
+// depends on all bits of both (the finalizer of SplitMix64).
 func score(key, box uint64) uint64 {
 	x := key ^ box*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -88,26 +89,26 @@
 	return x ^ x>>31
 }
 
-// scored is a box with its weight for a key.
+// scored is a box with its score for a key.
 type scored struct {
 	score    uint64
 	distance locality.Distance
 	box      int
 }
 
-// First lists the first boxes in the rank of a key, at most limit of them.
+// First lists the highest ranked boxes for a key, at most limit of them.
 func (b Boxes) First(key string, limit int) []string { return b.Nearest(Key{Name: key}, limit) }
 
-// Nearest lists the first boxes in the rank of a key, at most limit of them: those
-// in its zone before others of its region, and these before the rest.
+// Nearest lists the highest ranked boxes for a key, at most limit of them: boxes in its zone
+// come before others in its region, and these before the rest.
 func (b Boxes) Nearest(key Key, limit int) []string {
 	all := b.ranked(key)
 	return b.namesOf(all[:min(limit, len(all))])
 }
 
-// StandIns lists the boxes that are asked for a key when another box is silent, at most
-// limit of them: the nearest ones, but the last in another zone than the key's. The
-// boxes of a zone may be lost together.
+// StandIns lists the boxes to ask for a key while another box is silent, at most limit of them:
+// the nearest ones, except that the last one is in another zone than the key if possible,
+// because all boxes of a zone may fail together.
 func (b Boxes) StandIns(key Key, silent string, limit int) []string {
 	all := slices.DeleteFunc(b.ranked(key), func(s scored) bool { return b.names[s.box] == silent })
 	if limit < 1 || len(all) <= limit {
@@ -120,7 +121,7 @@
 	return b.namesOf(all[:limit])
 }
 
-// ranked lists all boxes in the rank of a key.
+// ranked lists all boxes with their scores, in the rank order of a key.
 func (b Boxes) ranked(key Key) []scored {
 	hash := xxhash.Sum64String(key.Name)
 	all := make([]scored, len(b.names))
@@ -137,56 +138,56 @@
 	return all
 }
 
-// namesOf are the names of ranked boxes.
-func (b Boxes) namesOf(some []scored) []string {
-	out := make([]string, 0, len(some))
-	for _, s := range some {
+// namesOf returns the names of ranked boxes.
+func (b Boxes) namesOf(ranked []scored) []string {
+	out := make([]string, 0, len(ranked))
+	for _, s := range ranked {
 		out = append(out, b.names[s.box])
 	}
 	return out
 }
 
-// Order lists all boxes in the rank of a key.
+// Order lists all boxes in the rank order of a key.
 func (b Boxes) Order(key string) []string { return b.First(key, len(b.names)) }
 
-// Assign gives each key a box: the first in its rank that has fewer than its even
-// share of the keys (bounded loads). With hashing alone the busiest of 400 boxes
-// would have four keys where the others have none or one. The result depends on
-// the keys and boxes alone, so boxes that know the same agree.
+// Assign maps each key to a box: the highest ranked one that has fewer than its even share of
+// the keys (bounded loads). With hashing alone, the busiest of 400 boxes would get four keys
+// where the others get none or one. The result depends only on the keys and boxes, so boxes
+// that know the same set agree.
 //
-// Weighed with 640 keys on 300 boxes (TestWaysToAssign): when a box goes, 0.16 % of
-// the keys move without need, on a ring with bounded loads 0.12 %, with a Maglev
-// table 2.1 %; the busiest box has 1.41 of the mean, 1.41 and 3.75. The ring has to
-// be built anew for each change of the boxes, and has another order than the rank
-// of a key, by which silent homes are replaced.
+// With 640 keys on 300 boxes (TestCompareAssignments), 0.16 % of the keys move needlessly when
+// a box leaves; on a ring with bounded loads 0.12 % do, and with a Maglev table 2.1 %. The
+// busiest box has 1.41, 1.41 and 3.75 times the mean load. The ring has to be rebuilt for each
+// change of the boxes, and its order differs from the rank order of a key, by which silent
+// homes are replaced.
 func (b Boxes) Assign(keys []string) map[string]string {
-	named := make([]Key, 0, len(keys))
+	unplaced := make([]Key, 0, len(keys))
 	for _, key := range keys {
-		named = append(named, Key{Name: key})
+		unplaced = append(unplaced, Key{Name: key})
 	}
-	return b.AssignNear(named)
+	return b.AssignNear(unplaced)
 }
 
-// AssignNear gives each key a box like Assign: one in its zone, or in its region
-// where the boxes of the zone have their share, and in another region only where
-// its own has no box.
+// AssignNear maps each key to a box like Assign: to one in its zone, to one in its region if
+// the boxes of the zone have their share, and to one in another region only if its own region
+// has no box.
 //
-// Weighed on two regions of three zones with 388 keys on 300 boxes
-// (TestWaysToAssignNear): by hash alone 48 % of the homes are in the other region;
-// region first none, but 71 % in another zone; by zone, then region, none in either;
-// with weights of 16, 4 and 1 10 % and 42 %, and the busiest box has 3.9 of the mean
-// instead of 1.6. When a box goes, 0.13, 0.17, 0.13 and 0 % move without need.
+// With 388 keys on 300 boxes in two regions of three zones each (TestCompareNearAssignments):
+// by hash alone, 48 % of the homes are in the other region; by region first, none are, but 71 %
+// are in another zone; by zone, then region, none in either; with weights of 16, 4 and 1, 10 %
+// are in another region and 42 % in another zone, and the busiest box has 3.9 times the mean
+// load instead of 1.6. When a box leaves, 0.13, 0.17, 0.13 and 0 % of the keys move needlessly.
 func (b Boxes) AssignNear(keys []Key) map[string]string {
 	out := make(map[string]string, len(keys))
 	if len(b.names) == 0 {
 		return out
 	}
 	loads := make([]int, len(b.names))
-	left := slices.SortedFunc(slices.Values(keys), func(x, y Key) int { return strings.Compare(x.Name, y.Name) })
-	share := shareOf(len(keys), len(b.names))
+	unassigned := slices.SortedFunc(slices.Values(keys), func(x, y Key) int { return strings.Compare(x.Name, y.Name) })
+	share := evenShare(len(keys), len(b.names))
 	for _, limit := range [...]locality.Distance{locality.SameZone, locality.SameRegion, locality.OtherRegion} {
-		shares := b.shares(keys, share, limit)
-		left = slices.DeleteFunc(left, func(key Key) bool {
+		shares := b.regionShares(keys, share, limit)
+		unassigned = slices.DeleteFunc(unassigned, func(key Key) bool {
 			i := b.best(key, loads, max(share, shares[key.Region]), limit)
 			if i < 0 {
 				return false
@@ -199,33 +200,33 @@
 	return out
 }
 
-// shareOf is the even share of some keys that each of some boxes has.
-func shareOf(keys, boxes int) int {
+// evenShare returns the maximum number of keys per box if all boxes share the keys evenly.
+func evenShare(keys, boxes int) int {
 	return (keys + boxes - 1) / max(boxes, 1)
 }
 
-// shares are the even shares of the regions' keys among their own boxes. They only
-// count for keys that stay in their regions.
-func (b Boxes) shares(keys []Key, share int, limit locality.Distance) map[string]int {
+// regionShares returns for each region the even share of its keys among its own boxes. They
+// only apply to keys that stay in their region.
+func (b Boxes) regionShares(keys []Key, share int, limit locality.Distance) map[string]int {
 	if b.zones == nil || limit != locality.SameRegion {
 		return nil
 	}
-	boxes, own := make(map[string]int), make(map[string]int)
+	boxes, keysIn := make(map[string]int), make(map[string]int)
 	for _, zone := range b.zones {
 		boxes[b.regions.Region(zone)]++
 	}
 	for _, key := range keys {
-		own[key.Region]++
+		keysIn[key.Region]++
 	}
-	out := make(map[string]int, len(own))
-	for region, n := range own {
-		out[region] = max(share, shareOf(n, boxes[region]))
+	out := make(map[string]int, len(keysIn))
+	for region, n := range keysIn {
+		out[region] = max(share, evenShare(n, boxes[region]))
 	}
 	return out
 }
 
-// best is the first box in rank with less than its share, none of those further
-// from the key than a limit; -1 is none.
+// best returns the index of the highest ranked box that has less than its share and is no
+// further from the key than limit, or -1 if there is none.
 func (b Boxes) best(key Key, loads []int, share int, limit locality.Distance) int {
 	best, highest, hash := -1, uint64(0), xxhash.Sum64String(key.Name)
 	for i, box := range b.hashes {
--- a/state/rank/rank_test.go
+++ b/state/rank/rank_test.go
@@ -23,23 +23,23 @@
 }
 
 func TestRank(t *testing.T) {
-	convey.Convey("A box that goes leaves the order of the others as it is", t, func() {
+	convey.Convey("A box that leaves does not change the order of the others", t, func() {
 		boxes := names("box-%d", 20)
 		for _, key := range names("key-%d", 50) {
 			all := rank.Of(boxes).Order(key)
 			gone := all[3]
-			left := rank.Of(slices.DeleteFunc(slices.Clone(boxes), func(b string) bool { return b == gone })).Order(key)
-			convey.So(left, convey.ShouldResemble, slices.DeleteFunc(slices.Clone(all), func(b string) bool { return b == gone }))
+			remaining := rank.Of(slices.DeleteFunc(slices.Clone(boxes), func(b string) bool { return b == gone })).Order(key)
+			convey.So(remaining, convey.ShouldResemble, slices.DeleteFunc(slices.Clone(all), func(b string) bool { return b == gone }))
 			convey.So(rank.Of(boxes).First(key, 3), convey.ShouldResemble, all[:3])
 		}
 	})
 	convey.Convey("The order of the names does not matter", t, func() {
 		boxes := names("box-%d", 20)
-		turned := slices.Clone(boxes)
-		slices.Reverse(turned)
+		reversed := slices.Clone(boxes)
+		slices.Reverse(reversed)
 		keys := names("key-%d", 50)
-		convey.So(rank.Of(boxes).Assign(keys), convey.ShouldResemble, rank.Of(turned).Assign(keys))
-		convey.So(rank.Of(boxes).Order("k"), convey.ShouldResemble, rank.Of(turned).Order("k"))
+		convey.So(rank.Of(boxes).Assign(keys), convey.ShouldResemble, rank.Of(reversed).Assign(keys))
+		convey.So(rank.Of(boxes).Order("k"), convey.ShouldResemble, rank.Of(reversed).Order("k"))
 	})
 	convey.Convey("No box is first for many more keys than another", t, func() {
 		firsts := make(map[string]int)
@@ -56,7 +56,7 @@
 	})
 }
 
-// ring assigns keys to the next box on a ring of points that has room (consistent
+// ring assigns keys to the next box on a ring of points that has spare capacity (consistent
 // hashing with bounded loads).
 func ring(keys, boxes []string) map[string]string {
 	const points = 64
@@ -97,7 +97,7 @@
 	return out
 }
 
-// maglev assigns keys by a table that boxes fill in turns (Maglev, 2016).
+// maglev assigns keys by a table that boxes fill in turn (Maglev, 2016).
 func maglev(keys, boxes []string) map[string]string {
 	const size = 30_011
 	table := make([]int, size)
@@ -129,29 +129,29 @@
 	return out
 }
 
-// busiest is the load of the busiest box over the mean.
-func busiest(of map[string]string, boxes int) float64 {
+// busiest returns the load of the busiest box divided by the mean load.
+func busiest(assigned map[string]string, boxes int) float64 {
 	loads := make(map[string]int)
-	most := 0
-	for _, b := range of {
+	highest := 0
+	for _, b := range assigned {
 		loads[b]++
-		most = max(most, loads[b])
+		highest = max(highest, loads[b])
 	}
-	return float64(most) * float64(boxes) / float64(len(of))
+	return float64(highest) * float64(boxes) / float64(len(assigned))
 }
 
-// TestWaysToAssign measures each way: which part of the keys moves without need
-// when a box goes, and the load of the busiest box. It holds that the one that is
-// built moves the fewest and keeps its bound.
-func TestWaysToAssign(t *testing.T) {
+// TestCompareAssignments measures for each algorithm the share of keys that move needlessly
+// when a box leaves, and the load of the busiest box. It checks that the one in use moves few
+// keys and keeps its load bound.
+func TestCompareAssignments(t *testing.T) {
 	keys, boxes := names("lm-porta/zone#%d", 640), names("front-bog-a-%d", 300)
-	ways := map[string]func(keys, boxes []string) map[string]string{
+	algorithms := map[string]func(keys, boxes []string) map[string]string{
 		"rendezvous, bounded": func(keys, boxes []string) map[string]string { return rank.Of(boxes).Assign(keys) },
 		"ring, bounded":       ring,
 		"maglev":              maglev,
 	}
 	moved := make(map[string]float64)
-	for name, assign := range ways {
+	for name, assign := range algorithms {
 		before := assign(keys, boxes)
 		const losses = 20
 		for gone := range losses {
@@ -162,19 +162,19 @@
 				}
 			}
 		}
-		t.Logf("%s: moves %.4f of the keys without need, busiest box %.2f of the mean", name, moved[name], busiest(before, len(boxes)))
+		t.Logf("%s: moves %.4f of the keys needlessly, busiest box %.2f of the mean", name, moved[name], busiest(before, len(boxes)))
 	}
-	const built = "rendezvous, bounded"
-	if moved[built] > 0.005 {
-		t.Errorf("%.4f of the keys move without need", moved[built])
+	const inUse = "rendezvous, bounded"
+	if moved[inUse] > 0.005 {
+		t.Errorf("%.4f of the keys move needlessly", moved[inUse])
 	}
-	if most := busiest(ways[built](keys, boxes), len(boxes)); most > 1.41 {
-		t.Errorf("the busiest box has %.2f of the mean", most)
+	if load := busiest(algorithms[inUse](keys, boxes), len(boxes)); load > 1.41 {
+		t.Errorf("the busiest box has %.2f of the mean", load)
 	}
 }
 
-// BenchmarkAssign: hashing each pair of names and sorting took 44 ms for 640 keys
-// on 300 boxes, and 8.4 MB; one hash a name and one pass a key 0.8 ms and 82 KB.
+// BenchmarkAssign measures Assign. Hashing each pair of names and sorting took 44 ms and 8.4 MB
+// for 640 keys on 300 boxes; one hash per name and one pass per key takes 0.8 ms and 82 KB.
 func BenchmarkAssign(b *testing.B) {
 	keys := names("lm-porta/zone#%d", 640)
 	for _, n := range []int{30, 100, 300} {
--- a/state/spread/spread.go
+++ b/state/spread/spread.go
@@ -1,13 +1,14 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package spread says along which ways updates reach all boxes: within a region along
-// a tree of its boxes, and from one region to another through one box of it. A link
-// between regions so carries each update once, and not once for every second box. In the
-// tree the boxes of a zone hang under each other, so that an update crosses into each zone
-// some times and not once for each box.
-// Boxes that know the same others agree on all ways, and where none or one region is
-// named there is one tree of all boxes. The package is pure; a Fleet is an immutable value.
+// Package spread computes the paths by which updates reach all boxes: along a tree of boxes
+// within a region, and through one box of each other region. A link between regions thus
+// carries each update once, instead of once for every second box. In the tree, the boxes of a
+// zone are grouped under each other, so an update crosses into each zone a few times instead of
+// once per box.
+//
+// Boxes that know the same set of boxes agree on all paths. If no region or only one is named,
+// there is one tree of all boxes. The package does no I/O; a Fleet is an immutable value.
 package spread
 
 import (
@@ -18,20 +19,20 @@
 	"runridge.example/runridge/state/rank"
 )
 
-// Fleet is the boxes with duties by region, as one box sees them.
+// Fleet holds the boxes with duties by region, as one box sees them.
 type Fleet struct {
-	// near are the boxes of the own region, this one included, and far those of
-	// each other region.
+	// near holds the boxes of the box's own region, including itself, and far those of each
+	// other region.
 	near rank.Boxes
 	far  map[string]rank.Boxes
-	// zones are those of the near boxes; nil is that trees are drawn without them, as by
-	// builds that know no zones there.
+	// zones holds the zones of the near boxes. nil means that trees are built without zones,
+	// because some boxes run builds that don't support them.
 	zones map[string]string
-	// orders are the orders of near that were worked out.
+	// orders caches the computed orders of near.
 	orders *rank.Orders
 }
 
-// New sorts the boxes by their distance from this one.
+// New returns the fleet as self sees it, split into its own region and the others.
 func New(self member.Box, boxes []member.Box, regions locality.Map) Fleet {
 	names := make(map[string][]string)
 	zones := make(map[string]string)
@@ -54,7 +55,7 @@
 	return f
 }
 
-// Len is the number of boxes.
+// Len returns the number of boxes.
 func (f Fleet) Len() int {
 	n := len(f.near.Names())
 	for _, boxes := range f.far {
@@ -63,13 +64,13 @@
 	return n
 }
 
-// Near lists the boxes of the own region in their order for a key.
+// Near lists the boxes of the own region in rank order for a key.
 func (f Fleet) Near(key string) []string {
 	return f.orders.Of(key, func() []string { return f.near.Order(key) })
 }
 
-// Heads names the first box of each other region in the order for a key: the one
-// that takes updates in for its region.
+// Heads returns the first box of each other region in rank order for a key, which receives
+// updates for its region.
 func (f Fleet) Heads(key string) []string {
 	out := make([]string, 0, len(f.far))
 	for _, boxes := range f.far {
@@ -79,9 +80,9 @@
 	return out
 }
 
-// Tree orders the boxes of the own region for the tree in which an update passes: each box has
-// Fanout children in it. The root is the origin of the update if it is of this region, else
-// the first box in the order for the key, to which the origin sends.
+// Tree orders the boxes of the own region as the tree along which an update spreads: each box
+// has Fanout children. The root is the origin of the update if it is in this region, else the
+// first box in rank order for the key, to which the origin sends.
 func (f Fleet) Tree(key, origin string) []string {
 	return f.orders.Of(key+" from "+origin, func() []string {
 		order := Rooted(f.Near(key), origin)
@@ -92,7 +93,7 @@
 	})
 }
 
-// Draw orders boxes for a tree as tree does, or by rank alone where that is nil.
+// Draw orders boxes for a tree with the tree function, or by rank alone if that is nil.
 func Draw(tree func(key, origin string) []string, ranked func(key string) []string, key, origin string) []string {
 	if tree == nil {
 		return Rooted(ranked(key), origin)
@@ -100,7 +101,8 @@
 	return tree(key, origin)
 }
 
-// Rooted is an order with a box put first, if it has that box.
+// Rooted returns an order with root moved to the front, or unchanged if it doesn't contain
+// root.
 func Rooted(order []string, root string) []string {
 	if !slices.Contains(order, root) {
 		return order
@@ -109,8 +111,8 @@
 	return append([]string{root}, rest...)
 }
 
-// byZone orders boxes so that those of a zone stand one after the other in the tree, from the
-// root down and branch by branch. Zones come in the order of their first boxes.
+// byZone orders boxes so that those of a zone are adjacent in the tree, filling it from the
+// root depth first. Zones come in the order of their first boxes.
 func byZone(order []string, zones map[string]string) []string {
 	first := make(map[string]int)
 	for i, box := range order {
@@ -138,14 +140,14 @@
 }
 
 const (
-	// Fanout is how many boxes one passes an update on to.
+	// Fanout is the number of boxes to which each box forwards an update.
 	Fanout = 8
-	// ZonesSince is the version of messages from which on boxes draw trees by zone. All
-	// have to draw the same.
+	// ZonesSince is the message version from which boxes build trees by zone. All boxes have to
+	// build the same tree.
 	ZonesSince = 1
 )
 
-// Below lists the children of a box in the tree that an order of boxes makes.
+// Below lists the children of a box in the tree that an order describes.
 func Below(order []string, box string) []string {
 	at := slices.Index(order, box)
 	if at < 0 {
@@ -155,7 +157,7 @@
 	return order[first:min(first+Fanout, len(order))]
 }
 
-// Above lists the boxes above one in that tree, the nearest first; none at the root.
+// Above lists the ancestors of a box in that tree, the nearest first; none for the root.
 func Above(order []string, box string) []string {
 	var out []string
 	for at := slices.Index(order, box); at > 0; {
--- a/state/spread/spread_test.go
+++ b/state/spread/spread_test.go
@@ -15,20 +15,20 @@
 	"runridge.example/runridge/state/rank"
 )
 
-// drawn is a fleet of boxes in zones of some regions.
-type drawn struct {
+// randomFleet is a fleet of boxes in the zones of some regions.
+type randomFleet struct {
 	boxes   []member.Box
 	regions locality.Map
 	fleets  map[string]Fleet
 }
 
-func draw(t *rapid.T) drawn {
+func drawFleet(t *rapid.T) randomFleet {
 	count := rapid.IntRange(1, 3).Draw(t, "regions")
 	named := make(map[string]string)
 	for zone := range 2 * count {
 		named[fmt.Sprintf("z%d", zone)] = fmt.Sprintf("r%d", zone%count)
 	}
-	d := drawn{regions: locality.New(named), fleets: make(map[string]Fleet)}
+	d := randomFleet{regions: locality.New(named), fleets: make(map[string]Fleet)}
 	wire := uint16(rapid.IntRange(ZonesSince-1, ZonesSince).Draw(t, "wire"))
 	for i := range rapid.IntRange(1, 60).Draw(t, "boxes") {
 		zone := rapid.IntRange(0, 2*count-1).Draw(t, "zone")
@@ -40,7 +40,7 @@
 	return d
 }
 
-func (d drawn) region(box string) string {
+func (d randomFleet) region(box string) string {
 	for _, b := range d.boxes {
 		if b.Name == box {
 			return d.regions.Region(b.Zone)
@@ -51,28 +51,28 @@
 
 func TestUpdatesReachEachBoxOnceAndEachRegionOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t)
+		d := drawFleet(t)
 		origin := rapid.SampledFrom(d.boxes).Draw(t, "origin").Name
 		key := "endpoints@" + origin
 		got := map[string]int{origin: 1}
 		crossed := make(map[string]int)
-		waiting := []string{origin}
+		queue := []string{origin}
 		send := func(from, to string) {
 			if d.region(from) != d.region(to) {
 				crossed[d.region(to)]++
 			}
 			got[to]++
-			waiting = append(waiting, to)
+			queue = append(queue, to)
 		}
 		for _, head := range d.fleets[origin].Heads(key) {
 			send(origin, head)
 		}
-		for len(waiting) > 0 {
-			box := waiting[0]
-			waiting = waiting[1:]
+		for len(queue) > 0 {
+			box := queue[0]
+			queue = queue[1:]
 			children := Below(d.fleets[box].Tree(key, origin), box)
 			if len(children) > Fanout {
-				t.Fatalf("%s passes on to %d boxes of at most %d", box, len(children), Fanout)
+				t.Fatalf("%s forwards to %d boxes, want at most %d", box, len(children), Fanout)
 			}
 			for _, child := range children {
 				send(box, child)
@@ -91,9 +91,9 @@
 	})
 }
 
-func TestAboveIsWhoPassesOn(t *testing.T) {
+func TestAboveListsAncestors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t)
+		d := drawFleet(t)
 		for name, f := range d.fleets {
 			order := f.Near("list")
 			child := name
@@ -104,13 +104,13 @@
 				child = parent
 			}
 			if child != order[0] {
-				t.Fatalf("the boxes above %s end at %s, not at the root", name, child)
+				t.Fatalf("the ancestors of %s end at %s, not at the root", name, child)
 			}
 		}
 	})
 }
 
-func TestOneRegionIsRankedAsAllBoxes(t *testing.T) {
+func TestOneRegionRanksAllBoxes(t *testing.T) {
 	boxes := []member.Box{{Name: "a", Zone: "1"}, {Name: "b", Zone: "2"}, {Name: "c", Zone: "1"}}
 	want := rank.Of([]string{"a", "b", "c"}).Order("k")
 	for name, regions := range map[string]locality.Map{
@@ -128,27 +128,28 @@
 	}
 }
 
-func TestTheNextBoxTakesOverWhenAHeadGoes(t *testing.T) {
+func TestNextBoxReplacesHead(t *testing.T) {
 	regions := locality.New(map[string]string{"1": "r", "2": "s"})
 	boxes := []member.Box{{Name: "a", Zone: "1"}, {Name: "b", Zone: "2"}, {Name: "c", Zone: "2"}, {Name: "d", Zone: "2"}}
 	before := New(boxes[0], boxes, regions).Heads("k")
 	if len(before) != 1 {
 		t.Fatalf("heads %v, want one", before)
 	}
-	var left []member.Box
+	var remaining []member.Box
 	for _, b := range boxes {
 		if b.Name != before[0] {
-			left = append(left, b)
+			remaining = append(remaining, b)
 		}
 	}
-	after := New(boxes[0], left, regions).Heads("k")
+	after := New(boxes[0], remaining, regions).Heads("k")
 	if len(after) != 1 || after[0] == before[0] {
-		t.Errorf("heads %v after %v has gone", after, before)
+		t.Errorf("heads %v after %v has left", after, before)
 	}
 }
 
-// TestTreeByZone holds that an update crosses into a zone a few times, however many boxes stand
-// there, and that one box of another build has all draw the tree that it knows.
+// TestTreeByZone checks that an update crosses into a zone only a few times, however many boxes
+// are in it, and that a single box of an older build makes all boxes use the tree by rank that
+// it knows.
 func TestTreeByZone(t *testing.T) {
 	const zones = 5
 	for _, n := range []int{30, 300, 986, 2000} {
@@ -185,12 +186,12 @@
 		byZone := crossings(boxes)
 		boxes[3].Wire = ZonesSince - 1
 		byRank := crossings(boxes)
-		t.Logf("%d boxes: %d of %d ways cross zones, %d in a tree by rank", n, byZone, n-1, byRank)
+		t.Logf("%d boxes: %d of %d edges cross zones, %d in a tree by rank", n, byZone, n-1, byRank)
 		if byZone > zones*levels*Fanout/2 {
-			t.Errorf("%d boxes: %d ways cross zones", n, byZone)
+			t.Errorf("%d boxes: %d edges cross zones", n, byZone)
 		}
 		if byRank < n/2 {
-			t.Errorf("%d boxes: with one of another build %d ways cross zones", n, byRank)
+			t.Errorf("%d boxes: with one of an older build %d edges cross zones", n, byRank)
 		}
 	}
 }
--- a/tests/mutants/accounts.go
+++ b/tests/mutants/accounts.go
@@ -81,7 +81,7 @@
 	},
 	{
 		name: "loans_never_end", file: "state/quota/purse.go", pkg: "./state/quota", args: only("TestPurse"),
-		old: "if now >= p.ends {\n		p.left = 0", fault: "if now >= 100*p.ends {\n		p.left = 0",
+		old: "if now >= p.expires {\n		p.balance = 0", fault: "if now >= 100*p.expires {\n		p.balance = 0",
 	},
 	{
 		name: "second_does_not_find_out", file: quotaHomeFile, pkg: quotaTests, args: only("TestSecondInRank"),
--- a/tests/mutants/poison.go
+++ b/tests/mutants/poison.go
@@ -20,19 +20,19 @@
 		old: "		explained = append(explained, found.Ends...)\n", fault: "",
 	},
 	{
-		name: "poison_by_longest_run", file: blockFile, pkg: poisonTests, args: only("TestBlocked|TestSpared"),
-		old: "cmp.Compare(w.ran, o.ran)", fault: "cmp.Compare(o.ran, w.ran)",
+		name: "poison_by_longest_run", file: blockFile, pkg: poisonTests, args: only("TestBlocked|TestOthersAreNotBlocked"),
+		old: "cmp.Compare(e.ran, o.ran)", fault: "cmp.Compare(o.ran, e.ran)",
 	},
 	{
 		name: "poison_although_answered", file: ledgerFile, pkg: poisonTests, args: only("TestBlocked"),
 		old: "		e.Cleared = true\n", fault: "",
 	},
 	{
-		name: "poison_answer_forgotten", file: ledgerFile, pkg: poisonTests, args: only("TestEndsAfterAnAnswerCountAnew|TestBoxesAgree"),
+		name: "poison_answer_forgotten", file: ledgerFile, pkg: poisonTests, args: only("TestCountRestartsAfterAnswer|TestBoxesAgree"),
 		old: "ends[n-1].Cleared = ends[n-1].Cleared || e.Cleared", fault: "ends[n-1].Cleared = e.Cleared",
 	},
 	{
-		name: "poison_not_renewed", file: ledgerFile, pkg: poisonTests, args: only("TestSeenAgainIsKept"),
+		name: "poison_not_renewed", file: ledgerFile, pkg: poisonTests, args: only("TestRepeatedSuspectIsKept"),
 		old: "return l.With(now, Suspect{Fingerprint: f, Seen: now})", fault: "return l, nil",
 	},
 	{
