--- a/state/cover/cover_test.go
+++ b/state/cover/cover_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// step is the simulation's resolution, and wait how long one read of the
-	// platform takes.
+	// step is the resolution of the simulation, and wait is how long one read of the platform
+	// takes.
 	step = 10 * time.Millisecond
 	wait = 600 * time.Millisecond
 )
@@ -19,17 +19,18 @@
 // box is one box of a simulated fleet.
 type box struct {
 	cover Cover
-	// reading is until when its read lasts; zero is none.
+	// reading is when its current read ends; zero if there is none.
 	reading time.Time
 	reads   int
-	// apart boxes hear nobody and are heard by nobody; away ones are turned
-	// away by the platform; dead ones do nothing.
-	apart, away, dead bool
-	// uncovered is for how long the box has known nothing of the platform.
-	uncovered, worst time.Duration
+	// A partitioned box neither receives nor sends messages, the platform refuses the calls of
+	// a refused one, and a dead one does nothing.
+	partitioned, refused, dead bool
+	// uncovered is how long the box has known nothing of the platform, and longest the longest
+	// such time.
+	uncovered, longest time.Duration
 }
 
-// fleet is boxes whose words reach the others in one step.
+// fleet simulates boxes whose messages reach the others within one step.
 type fleet struct {
 	now    time.Time
 	boxes  []*box
@@ -44,7 +45,7 @@
 	return f
 }
 
-// place is a box's place among the live ones: the dead are known to be.
+// place returns the place of a box among the live ones; the dead boxes are known to be dead.
 func (f *fleet) place(i int) Place {
 	rank, boxes := 0, 0
 	for j, b := range f.boxes {
@@ -59,7 +60,7 @@
 	return Place{Rank: rank, Boxes: boxes}
 }
 
-// run plays the fleet for a time.
+// run simulates the fleet for a time.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
 		for i, b := range f.boxes {
@@ -67,7 +68,7 @@
 				continue
 			}
 			b.uncovered += step
-			b.worst = max(b.worst, b.uncovered)
+			b.longest = max(b.longest, b.uncovered)
 			f.act(i, b)
 		}
 	}
@@ -89,18 +90,18 @@
 		return
 	}
 	b.reading = time.Time{}
-	b.cover = b.cover.WithRead(f.now, p, !b.away, f.chance.Float64())
-	if !b.away {
+	b.cover = b.cover.WithRead(f.now, p, !b.refused, f.chance.Float64())
+	if !b.refused {
 		b.uncovered = 0
 	}
-	if !b.cover.Decide(f.now, p).Tell || b.apart {
+	if !b.cover.Decide(f.now, p).Tell || b.partitioned {
 		return
 	}
 	for j, other := range f.boxes {
-		if j == i || other.apart || other.dead {
+		if j == i || other.partitioned || other.dead {
 			continue
 		}
-		if b.away {
+		if b.refused {
 			other.cover = other.cover.WithLost(f.now, f.place(j), f.chance.Float64())
 			continue
 		}
@@ -109,62 +110,64 @@
 	}
 }
 
-// forget starts the measurements anew.
-func (f *fleet) forget() {
+// resetMeasurements resets the counters of all boxes.
+func (f *fleet) resetMeasurements() {
 	for _, b := range f.boxes {
-		b.reads, b.worst, b.uncovered = 0, 0, 0
+		b.reads, b.longest, b.uncovered = 0, 0, 0
 	}
 }
 
 func TestFleet(t *testing.T) {
 	const size = 100
 	cases := map[string]struct {
-		// trouble strikes after ten seconds, for ten seconds.
-		trouble func(f *fleet)
-		// readers is the most boxes that read, reads the most reads of all, and
-		// uncovered the longest that a sound box knows nothing.
+		// fault starts after ten seconds and lasts for ten seconds.
+		fault func(f *fleet)
+		// readers is the maximum number of boxes that read, reads the maximum number of reads
+		// in total, and uncovered the longest time for which a healthy box may know nothing.
 		readers, reads int
 		uncovered      time.Duration
 	}{
-		"calm": {
-			trouble: func(*fleet) {},
+		"no fault": {
+			fault:   func(*fleet) {},
 			readers: Readers, reads: Readers * 17, uncovered: Validity,
 		},
 		"the readers die": {
-			trouble: func(f *fleet) { f.boxes[0].dead, f.boxes[1].dead, f.boxes[2].dead = true, true, true },
+			fault:   func(f *fleet) { f.boxes[0].dead, f.boxes[1].dead, f.boxes[2].dead = true, true, true },
 			readers: Readers, reads: Readers * 17, uncovered: 2 * Validity,
 		},
-		"the readers hear nobody, as far as the others know they live": {
-			trouble: func(f *fleet) { f.boxes[0].apart, f.boxes[1].apart, f.boxes[2].apart = true, true, true },
+		"the readers are partitioned, the others consider them alive": {
+			fault: func(f *fleet) {
+				f.boxes[0].partitioned, f.boxes[1].partitioned, f.boxes[2].partitioned = true, true, true
+			},
 			readers: Readers + 40, reads: Readers*17 + 60, uncovered: 2 * Validity,
 		},
-		"the platform turns the readers away": {
-			trouble: func(f *fleet) { f.boxes[0].away, f.boxes[1].away, f.boxes[2].away = true, true, true },
+		"the platform refuses the readers": {
+			fault:   func(f *fleet) { f.boxes[0].refused, f.boxes[1].refused, f.boxes[2].refused = true, true, true },
 			readers: Readers + 20, reads: Readers*17 + 60, uncovered: Validity + 2*wait + time.Second,
 		},
-		"the platform turns one reader away": {
-			trouble: func(f *fleet) { f.boxes[1].away = true },
+		"the platform refuses one reader": {
+			fault:   func(f *fleet) { f.boxes[1].refused = true },
 			readers: Readers, reads: Readers * 17, uncovered: Validity,
 		},
-		"the platform is away": {
-			trouble: func(f *fleet) {
+		"the platform refuses all boxes": {
+			fault: func(f *fleet) {
 				for _, b := range f.boxes {
-					b.away = true
+					b.refused = true
 				}
 			},
 			readers: size, reads: Readers*17 + 2*int(10*time.Second/tryGap), uncovered: 11 * time.Second,
 		},
-		"one box hears nobody": {
-			trouble: func(f *fleet) { f.boxes[size-1].apart = true },
-			readers: Readers + 1, reads: (Readers + 1) * 17, uncovered: Validity + longestTakeover + wait + 10*step,
+		"one box is partitioned": {
+			fault:   func(f *fleet) { f.boxes[size-1].partitioned = true },
+			readers: Readers + 1, reads: (Readers + 1) * 17, uncovered: Validity + maxTakeoverDelay + wait + 10*step,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(size)
 			f.run(10 * time.Second)
-			f.forget()
-			c.trouble(f)
+			f.resetMeasurements()
+			c.fault(f)
 			f.run(10 * time.Second)
 			readers, reads := 0, 0
 			for i, b := range f.boxes {
@@ -172,9 +175,9 @@
 				if b.reads > 0 {
 					readers++
 				}
-				sound := !b.dead && (!b.away || i >= Readers)
-				if sound && b.worst > c.uncovered {
-					t.Errorf("box %d knew nothing for %v, want at most %v", i, b.worst, c.uncovered)
+				healthy := !b.dead && (!b.refused || i >= Readers)
+				if healthy && b.longest > c.uncovered {
+					t.Errorf("box %d knew nothing for %v, want at most %v", i, b.longest, c.uncovered)
 				}
 			}
 			if readers > c.readers || reads > c.reads {
@@ -188,14 +191,14 @@
 	f := newFleet(20)
 	f.run(5 * time.Second)
 	for _, b := range f.boxes[:Readers] {
-		b.away = true
+		b.refused = true
 	}
 	f.run(10 * time.Second)
 	for _, b := range f.boxes[:Readers] {
-		b.away = false
+		b.refused = false
 	}
 	f.run(3 * time.Second)
-	f.forget()
+	f.resetMeasurements()
 	f.run(5 * time.Second)
 	for i, b := range f.boxes {
 		if (b.reads > 0) != (i < Readers) {
@@ -212,12 +215,12 @@
 		place Place
 		read  bool
 	}{
-		"a box that knows no other yet":       {place: Place{Boxes: 1}},
-		"the only box":                        {after: startTime, place: Place{Boxes: 1}, read: true},
-		"a reader that knows the others":      {place: Place{Rank: 2, Boxes: 9}, read: true},
-		"another box before the readers talk": {after: startTime, place: Place{Rank: 3, Boxes: 9}},
-		"another box that hears nobody":       {after: startTime + Validity + longestTakeover, place: Place{Rank: 8, Boxes: 9}, read: true},
-		"a box that has left the order":       {after: time.Second, place: Place{Rank: -1, Boxes: 9}},
+		"a box that knows no other yet":  {place: Place{Boxes: 1}},
+		"the only box":                   {after: startTime, place: Place{Boxes: 1}, read: true},
+		"a reader that knows the others": {place: Place{Rank: 2, Boxes: 9}, read: true},
+		"another box before any update":  {after: startTime, place: Place{Rank: 3, Boxes: 9}},
+		"another box without any update": {after: startTime + Validity + maxTakeoverDelay, place: Place{Rank: 8, Boxes: 9}, read: true},
+		"a box that has left the order":  {after: time.Second, place: Place{Rank: -1, Boxes: 9}},
 	}
 	for name, c2 := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -230,22 +233,22 @@
 
 func TestPasses(t *testing.T) {
 	now := time.Unix(1000, 0)
-	heard := New(now).WithWord(now, Place{Rank: 9, Boxes: 10}, Place{Rank: 1, Boxes: 10})
+	updated := New(now).WithWord(now, Place{Rank: 9, Boxes: 10}, Place{Rank: 1, Boxes: 10})
 	cases := map[string]struct {
 		cover  Cover
 		after  time.Duration
 		origin Place
 		want   bool
 	}{
-		"a reader's word": {cover: heard, origin: Place{Rank: 0}, want: true},
-		"a stand-in's word where a reader is heard":       {cover: heard, origin: Place{Rank: 5}},
-		"a stand-in's word where none was heard":          {cover: New(now), origin: Place{Rank: 5}, want: true},
-		"a stand-in's word once the readers have stopped": {cover: heard, after: Validity, origin: Place{Rank: 5}, want: true},
+		"an update of a reader":                               {cover: updated, origin: Place{Rank: 0}, want: true},
+		"an update of a substitute while a reader sends":      {cover: updated, origin: Place{Rank: 5}},
+		"an update of a substitute without any reader":        {cover: New(now), origin: Place{Rank: 5}, want: true},
+		"an update of a substitute after the readers stopped": {cover: updated, after: Validity, origin: Place{Rank: 5}, want: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if got := c.cover.Passes(now.Add(c.after), c.origin); got != c.want {
-				t.Errorf("passes: %v, want %v", got, c.want)
+				t.Errorf("forwards: %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/state/stages/stages.go
+++ b/state/stages/stages.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package stages plans which engines of a group prefill and which decode, from what a
-// usual prompt and answer take and the prompt work that the group is asked for. It is
-// pure: what was observed is an
-// argument.
+// Package stages plans which engines of a group prefill and which decode, from the time that a
+// usual prompt and answer take and from the prompt work that is requested of the group. It does
+// no I/O: observations are arguments.
 package stages
 
 import (
@@ -14,95 +13,98 @@
 	"time"
 )
 
-// Engine is one engine of a group as the plan sees it.
+// Engine is the state of one engine of a group that a plan is based on.
 type Engine struct {
 	Name string
-	// Prefill is its stage, or the one that it is changing to.
+	// Prefill reports whether its stage is prefill, or will be after a change in progress.
 	Prefill bool
-	// Changing engines are away until they have their new stage.
+	// Changing reports whether the engine is changing its stage; until that is done it is
+	// unavailable.
 	Changing bool
-	// Ready engines may be ordered to change: they are up, not leaving, and not
+	// Ready reports whether the engine may be ordered to change: it is up, not leaving, and not
 	// changing already.
 	Ready bool
 	// TokenNS is the time in which it prefills one token, in nanoseconds.
 	TokenNS float64
 }
 
-// Load is what a group was asked for.
+// Load is the work requested of a group.
 type Load struct {
-	// Seen is for how long the group has been asked.
+	// Seen is how long the group has been observed.
 	Seen time.Duration
-	// Mean and Peak are the prompt work asked for, in seconds of one engine's
-	// prefilling for each second: over all that is remembered, and in the
-	// busiest seconds of it.
+	// Mean and Peak are the requested prompt work, in seconds of one engine's prefill time per
+	// second: over the whole observed period, and over its busiest seconds.
 	Mean, Peak float64
-	// Prompt is the time in which one engine that does nothing else reads a usual
-	// prompt, and Answer that for which one usual answer takes an engine whose
-	// memory is full of them; 0 is not known.
+	// Prompt is the time that one engine with no other work takes to read a usual prompt.
+	// Answer is the engine time that one usual answer takes, on an engine whose memory is full
+	// of such answers. 0 means unknown.
 	Prompt, Answer time.Duration
-	// Fill is how full the memory of the engines that decode is, 0 to 1.
+	// Fill is the used part of the decode engines' memory, 0 to 1.
 	Fill float64
 }
 
-// Config sets how a group is planned.
+// Config configures the plan of a group.
 type Config struct {
-	// Part, above 0, pins the part of the engines that prefill.
+	// Part, if above 0, fixes the part of the engines that prefill.
 	Part float64
 }
 
 const (
-	// leastSeen is how long a group is observed before it is planned: two
-	// seconds show the rate of prompts to a fourth at ten a second.
-	leastSeen = 2 * time.Second
-	// unknownSeen is the same while it is not known how long answers take, which the
-	// first of them show within seconds. Planned after two seconds by the work alone, a
-	// zone of 30 engines kept five that prefill where it needed seven.
-	unknownSeen = 10 * time.Second
-	// leastWork is the work, in engines, below which nothing changes: engines are
-	// not short then, or most boxes ask another home.
-	leastWork = 0.3
-	// busy is the part of its time that a prefill engine is planned to work where it
-	// is not known how long answers take, and balancedBusy that where it is: some
-	// prompts are read twice, and they do not come evenly. In a rush of 90 engines, 27
-	// that prefill worked 0.65 of their time and 150 streams a second were answered;
-	// 18 worked 0.88, 110 were answered and prompts were read beside the batches.
-	busy         = 0.85
-	balancedBusy = 0.7
-	// headroom is how many times the mean work the prefill engines are planned
-	// for where it is not known how long answers take. Rushes bring twice the usual;
-	// what is beyond that is read beside the batches of decode engines.
+	// minSeen is how long a group is observed before it is planned: at ten prompts per second,
+	// two seconds show their rate to within a quarter.
+	minSeen = 2 * time.Second
+	// minSeenWithoutAnswers is the same while the duration of answers is unknown; the first
+	// answers show it within seconds. When a zone of 30 engines was planned after two seconds
+	// by the prompt work alone, it kept five prefill engines but needed seven.
+	minSeenWithoutAnswers = 10 * time.Second
+	// minWork is the work, in engines, below which nothing changes: either the engines are not
+	// overloaded, or most boxes ask another home.
+	minWork = 0.3
+	// utilization is the part of their time that prefill engines are planned to work while the
+	// duration of answers is unknown, and balancedUtilization the same once it is known. It is
+	// lower because some prompts are read twice and because prompts do not arrive evenly. In a
+	// rush on 90 engines, 27 prefill engines worked 0.65 of their time and 150 streams per
+	// second were answered; 18 worked 0.88, 110 were answered, and prompts were read next to
+	// the decode batches.
+	utilization         = 0.85
+	balancedUtilization = 0.7
+	// headroom is the factor on the mean work for which prefill engines are planned while the
+	// duration of answers is unknown. Rushes bring twice the usual work; decode engines read
+	// the rest next to their batches.
 	headroom = 2.0
-	// gain is the least part by which a change has to raise what the group can
-	// serve: the observed times move by some hundredths from second to second.
-	gain = 0.05
-	// least is the fewest engines that prefill in a group that has others, and
-	// leastLarge in one of at least large engines: one may be lost.
-	least      = 1
-	leastLarge = 2
-	large      = 8
-	// overloaded is how many times the prefill engines' time the mean work has to
-	// take before engines change back, and roomy how full the memory of the others
-	// may be: each is away for seconds and loses what it decodes, decode engines
-	// read prompts too, and where memory is short fewer of them serve less.
-	overloaded = 1.3
-	roomy      = 0.5
-	// spareToChange is how many more engines than needed prefill before any
-	// changes.
+	// minGain is the least relative increase of the rate that the group can serve for which a
+	// change is made: observed times vary by a few hundredths from second to second.
+	minGain = 0.05
+	// minPrefills is the minimum number of prefill engines in a group with other engines, and
+	// minPrefillsLarge the minimum in a group of at least largeGroup engines, because one may
+	// be lost.
+	minPrefills      = 1
+	minPrefillsLarge = 2
+	largeGroup       = 8
+	// overloadFactor is how many times the prefill engines' time the mean work must take before
+	// engines change back to prefill, and maxFillToChange how full the memory of the others may
+	// be then. An engine that changes is unavailable for seconds and loses the answers that it
+	// decodes, decode engines can read prompts too, and if memory is short, fewer decode
+	// engines serve less.
+	overloadFactor  = 1.3
+	maxFillToChange = 0.5
+	// spareToChange is the number of prefill engines above the wanted number from which engines
+	// change to decode.
 	spareToChange = 1
 )
 
-// Plan lists the engines that should change to decoding and to prefilling.
+// Plan lists the engines that should change to decode and to prefill.
 type Plan struct {
-	// Wanted is how many engines should prefill.
+	// Wanted is the number of engines that should prefill.
 	Wanted              int
 	ToDecode, ToPrefill []string
 }
 
-// None says that nothing changes.
+// None reports whether no engine changes.
 func (p Plan) None() bool { return len(p.ToDecode)+len(p.ToPrefill) == 0 }
 
-// Make plans a group. Engines that prefill without need all change at once: they
-// stand idle. One at a time changes back.
+// Make plans a group. Superfluous prefill engines all change to decode at once, because they
+// are idle. Engines change to prefill one at a time.
 func Make(engines []Engine, l Load, c Config) Plan {
 	prefills, changing := 0, false
 	for _, e := range engines {
@@ -112,27 +114,27 @@
 		changing = changing || e.Changing
 	}
 	p := Plan{Wanted: prefills}
-	idle := c.Part == 0 && l.Mean < leastWork
-	if l.Seen < leastSeen || l.Seen < unknownSeen && c.Part == 0 && l.Answer == 0 || idle || len(engines) <= least {
+	idle := c.Part == 0 && l.Mean < minWork
+	if l.Seen < minSeen || l.Seen < minSeenWithoutAnswers && c.Part == 0 && l.Answer == 0 || idle || len(engines) <= minPrefills {
 		return p
 	}
 	p.Wanted = wanted(len(engines), prefills, l, c)
 	switch {
 	case prefills-p.Wanted >= spareToChange:
 		p.ToDecode = slowest(engines, prefills-p.Wanted)
-	case prefills < p.Wanted && !changing && (c.Part > 0 || l.Fill < roomy && l.Mean > overloaded*float64(prefills)):
-		p.ToPrefill = decodesOf(engines)
+	case prefills < p.Wanted && !changing && (c.Part > 0 || l.Fill < maxFillToChange && l.Mean > overloadFactor*float64(prefills)):
+		p.ToPrefill = fastestDecode(engines)
 	}
 	return p
 }
 
-// wanted is how many of so many engines should prefill.
+// wanted returns how many of all engines should prefill.
 func wanted(all, prefills int, l Load, c Config) int {
-	floor := least
-	if all >= large {
-		floor = leastLarge
+	floor := minPrefills
+	if all >= largeGroup {
+		floor = minPrefillsLarge
 	}
-	n := int(math.Ceil(l.Mean * headroom / busy))
+	n := int(math.Ceil(l.Mean * headroom / utilization))
 	switch {
 	case c.Part > 0:
 		n = int(math.Round(c.Part * float64(all)))
@@ -142,52 +144,53 @@
 	return min(max(n, floor), all-1)
 }
 
-// balanced is how many engines should prefill for the group to serve the most: as
-// many requests a second as those that prefill read and the others answer. Planned by
-// the work that is asked for instead, a zone of 30 engines has five that prefill and
-// reads 38 prompts a second where its others can answer 50, and another has ten and
-// answers 40. A change that gains less than a twentieth is not made.
+// balanced returns the number of prefill engines with which the group serves the most requests
+// per second: as many as the prefill engines can read and the others can answer. If a zone of
+// 30 engines is planned by the requested work instead, it gets five prefill engines that read
+// 38 prompts per second where the others can answer 50; another zone gets ten and answers 40. A
+// change that gains less than a twentieth is not made.
 func balanced(all, prefills int, l Load) int {
-	prompt := l.Prompt.Seconds() / balancedBusy
+	prompt := l.Prompt.Seconds() / balancedUtilization
 	part := prompt / (prompt + l.Answer.Seconds())
 	n := int(part * float64(all))
 	if served(all, n+1, l) > served(all, n, l) {
 		n++
 	}
-	if prefills > 0 && served(all, n, l) < (1+gain)*served(all, prefills, l) {
+	if prefills > 0 && served(all, n, l) < (1+minGain)*served(all, prefills, l) {
 		return prefills
 	}
 	return n
 }
 
-// served is how many requests a second a group serves at most when so many of its
-// engines prefill.
+// served returns the maximum rate of requests per second that a group serves with a number of
+// prefill engines.
 func served(all, prefills int, l Load) float64 {
-	read := float64(prefills) * balancedBusy / l.Prompt.Seconds()
+	read := float64(prefills) * balancedUtilization / l.Prompt.Seconds()
 	answered := float64(all-prefills) / l.Answer.Seconds()
 	return min(read, answered)
 }
 
-// slowest are the engines that prefill the slowest, of those that may change.
+// slowest returns up to n of the prefill engines that may change, the slowest ones.
 func slowest(engines []Engine, n int) []string {
-	var fit []Engine
+	var candidates []Engine
 	for _, e := range engines {
 		if e.Prefill && e.Ready {
-			fit = append(fit, e)
+			candidates = append(candidates, e)
 		}
 	}
-	slices.SortStableFunc(fit, func(a, b Engine) int {
+	slices.SortStableFunc(candidates, func(a, b Engine) int {
 		return cmp.Or(cmp.Compare(b.TokenNS, a.TokenNS), cmp.Compare(a.Name, b.Name))
 	})
 	var out []string
-	for _, e := range fit[:min(n, len(fit))] {
+	for _, e := range candidates[:min(n, len(candidates))] {
 		out = append(out, e.Name)
 	}
 	return out
 }
 
-// decodesOf is the engine that would prefill the fastest, of those that decode.
-func decodesOf(engines []Engine) []string {
+// fastestDecode returns the decode engine that would prefill the fastest among those that may
+// change, or nothing.
+func fastestDecode(engines []Engine) []string {
 	best := -1
 	for i, e := range engines {
 		if e.Prefill || !e.Ready {
--- a/state/stages/stages_test.go
+++ b/state/stages/stages_test.go
@@ -14,7 +14,7 @@
 	"runridge.example/runridge/state/stages"
 )
 
-// engines are some that prefill and some that decode; every third is faster.
+// engines returns prefill and decode engines; every third one is faster.
 func engines(prefills, decodes int) []stages.Engine {
 	var out []stages.Engine
 	for i := range prefills + decodes {
@@ -43,21 +43,21 @@
 		toDecode  []string
 		toPrefill []string
 	}{
-		"too little seen":              {engines: engines(5, 8), load: stages.Load{Seen: time.Second, Mean: 0.1}},
+		"observed too briefly":         {engines: engines(5, 8), load: stages.Load{Seen: time.Second, Mean: 0.1}},
 		"answers are not known yet":    {engines: engines(5, 8), load: stages.Load{Seen: 9 * time.Second, Mean: 1.2}},
 		"three of five are enough":     {engines: engines(5, 8), load: seen(1.2), toDecode: []string{"e00", "e01"}},
 		"two stay though one would do": {engines: engines(5, 8), load: seen(0.4), toDecode: []string{"e00", "e01", "e03"}},
 		"one stays in a small group":   {engines: engines(2, 3), load: seen(0.4), toDecode: []string{"e00"}},
 		"all are needed":               {engines: engines(5, 8), load: seen(2.0)},
-		"more would do, no need yet":   {engines: engines(3, 10), load: seen(2.5)},
-		"read beside the batches":      {engines: engines(3, 10), load: seen(2.8)},
+		"more would help, not needed":  {engines: engines(3, 10), load: seen(2.5)},
+		"decode engines read the rest": {engines: engines(3, 10), load: seen(2.8)},
 		"one more is needed":           {engines: engines(3, 10), load: seen(4.0), toPrefill: []string{"e05"}},
 		"memory is short":              {engines: engines(3, 10), load: stages.Load{Seen: 10 * time.Second, Mean: 4, Fill: 0.7}},
 		"hardly any work":              {engines: engines(5, 8), load: seen(0.1)},
 		"one at a time": {engines: engines(3, 10), load: seen(4.0), change: func(e []stages.Engine) {
 			e[4].Prefill, e[4].Changing, e[4].Ready = true, true, false
 		}},
-		"one that left is not ordered": {engines: engines(5, 8), load: seen(1.2), toDecode: []string{"e01", "e03"}, change: func(e []stages.Engine) {
+		"one that is not ready stays": {engines: engines(5, 8), load: seen(1.2), toDecode: []string{"e01", "e03"}, change: func(e []stages.Engine) {
 			e[0].Ready = false
 		}},
 		"balanced, too many prefill":                         {engines: engines(11, 19), load: balanced(3.4, 120, 500), toDecode: []string{"e00", "e01", "e03"}},
@@ -65,8 +65,8 @@
 		"balanced, more would serve more but are not needed": {engines: engines(3, 27), load: balanced(1.5, 120, 500)},
 		"balanced, more are needed":                          {engines: engines(3, 27), load: balanced(4.5, 120, 500), toPrefill: []string{"e05"}},
 		"balanced, short answers":                            {engines: engines(5, 8), load: balanced(2, 120, 10)},
-		"a pinned part":                                      {engines: engines(5, 8), load: seen(2.0), part: 0.25, toDecode: []string{"e00", "e01"}},
-		"a pinned part that lacks engines":                   {engines: engines(2, 11), load: seen(0.4), part: 0.25, toPrefill: []string{"e02"}},
+		"a fixed part":                                       {engines: engines(5, 8), load: seen(2.0), part: 0.25, toDecode: []string{"e00", "e01"}},
+		"a fixed part that lacks engines":                    {engines: engines(2, 11), load: seen(0.4), part: 0.25, toPrefill: []string{"e02"}},
 		"never all":                                          {engines: engines(1, 1), load: seen(9)},
 	}
 	for name, c := range cases {
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestPlanRests holds that under a steady load the plan changes engines once and not
-// again, whatever the load.
-func TestPlanRests(t *testing.T) {
+// TestPlanIsStable checks that, under any steady load, the plan changes engines once and then
+// no more.
+func TestPlanIsStable(t *testing.T) {
 	for work := 0.05; work < 8; work += 0.05 {
 		e := engines(5, 8)
 		changes := 0
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestBalancedPlanServesTheMost holds that no other split of the engines serves more
-// than the planned one by more than what a change has to gain, and that small moves of
-// the observed times do not have it change to and fro.
+// TestBalancedPlanServesTheMost checks that no other split of the engines serves more than the
+// planned one by more than the minimum gain of a change, and that small variations of the
+// observed times do not make the plan change back and forth.
 func TestBalancedPlanServesTheMost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := rapid.IntRange(8, 40).Draw(t, "engines")
@@ -126,14 +126,14 @@
 				t.Fatalf("%d of %d engines serve %.1f a second, %d serve %.1f", p.Wanted, all, served(p.Wanted), other, served(other))
 			}
 		}
-		// Moved to and fro, they change the plan once at most, and not back.
+		// Small variations in both directions change the plan once at most, and not back.
 		steady, now := load.Prompt, p.Wanted
 		for _, moved := range []time.Duration{steady + steady/50, steady - steady/50} {
 			load.Prompt = moved
 			once := stages.Make(engines(now, all-now), load, stages.Config{}).Wanted
 			load.Prompt = steady
 			if again := stages.Make(engines(once, all-once), load, stages.Config{}).Wanted; again != once {
-				t.Fatalf("%s for a prompt and %s again: %d prefill, then %d, then %d", moved, steady, now, once, again)
+				t.Fatalf("%s for a prompt, then %s again: %d prefill, then %d, then %d", moved, steady, now, once, again)
 			}
 			now = once
 		}
@@ -141,7 +141,7 @@
 }
 
 func TestWork(t *testing.T) {
-	convey.Convey("The load is that of whole seconds, forgotten after a while", t, func() {
+	convey.Convey("The load covers whole seconds and expires after a while", t, func() {
 		var w stages.Work
 		convey.So(w.Load(time.Second), convey.ShouldResemble, stages.Load{})
 		at := func(tenths int) time.Duration { return time.Duration(tenths) * 100 * time.Millisecond }
--- a/state/stages/work.go
+++ b/state/stages/work.go
@@ -5,57 +5,58 @@
 
 import "time"
 
-// remembered is how many seconds of work are kept: one rush and the quiet after it.
-const remembered = 20
+// keptSeconds is the number of seconds of work that are kept: one rush and the quiet period
+// after it.
+const keptSeconds = 20
 
-// peakSeconds is over how many seconds the busiest work is taken.
+// peakSeconds is the number of seconds over which the peak is averaged.
 const peakSeconds = 3
 
-// Work keeps the prompt work that a group is asked for, second by second. The zero
-// value has seen none.
+// Work records the prompt work that is requested of a group, per second. The zero value has
+// recorded none.
 type Work struct {
-	begun   bool
+	started bool
 	first   int64
 	newest  int64
-	seconds [remembered]float64
+	seconds [keptSeconds]float64
 }
 
-// Add takes in work at a time since the group's start, in seconds of one engine.
+// Add records work, in seconds of one engine, at a time since the group's start.
 func (w *Work) Add(at time.Duration, seconds float64) {
 	now := int64(at / time.Second)
-	if !w.begun {
-		w.begun, w.first, w.newest = true, now, now
+	if !w.started {
+		w.started, w.first, w.newest = true, now, now
 	}
-	w.moveTo(now)
-	w.seconds[now%remembered] += seconds
+	w.advanceTo(now)
+	w.seconds[now%keptSeconds] += seconds
 }
 
-// moveTo clears the seconds that have come since.
-func (w *Work) moveTo(now int64) {
+// advanceTo clears the slots of the seconds that have passed since the last call.
+func (w *Work) advanceTo(now int64) {
 	for w.newest < now {
 		w.newest++
-		w.seconds[w.newest%remembered] = 0
-		if now-w.newest > remembered {
-			w.newest = now - remembered
+		w.seconds[w.newest%keptSeconds] = 0
+		if now-w.newest > keptSeconds {
+			w.newest = now - keptSeconds
 		}
 	}
 }
 
-// Load is what was asked for up to a time, the present second left out.
+// Load returns the load up to a time, without the current second.
 func (w *Work) Load(at time.Duration) Load {
 	now := int64(at / time.Second)
-	if !w.begun || now <= w.first {
+	if !w.started || now <= w.first {
 		return Load{}
 	}
-	w.moveTo(now)
-	whole := min(now-w.first, remembered-1)
+	w.advanceTo(now)
+	whole := min(now-w.first, keptSeconds-1)
 	sum, peak, run := 0.0, 0.0, 0.0
 	for i := int64(1); i <= whole; i++ {
-		s := w.seconds[(now-i)%remembered]
+		s := w.seconds[(now-i)%keptSeconds]
 		sum += s
 		run += s
 		if i > peakSeconds {
-			run -= w.seconds[(now-i+peakSeconds)%remembered]
+			run -= w.seconds[(now-i+peakSeconds)%keptSeconds]
 		}
 		peak = max(peak, run/float64(min(i, peakSeconds)))
 	}
--- a/tests/mutants/shared.go
+++ b/tests/mutants/shared.go
@@ -138,7 +138,7 @@
 	},
 	{
 		name: "silence_covers", file: coverFile, pkg: coverTests, args: only("TestFleet"),
-		old: "covered = covered.Add(Validity)", fault: "covered = covered.Add(100 * Validity)",
+		old: "deadline = deadline.Add(Validity)", fault: "deadline = deadline.Add(100 * Validity)",
 	},
 	{
 		name: "all_read_at_once_when_readers_fall_silent", file: coverFile, pkg: coverTests, args: only("TestFleet"),
@@ -146,15 +146,15 @@
 	},
 	{
 		name: "all_try_while_the_platform_is_lost", file: coverFile, pkg: coverTests, args: only("TestFleet"),
-		old: "time.Duration(chance*float64(most))", fault: "time.Duration(0*chance*float64(most))",
+		old: "time.Duration(chance*float64(maxDelay))", fault: "time.Duration(0*chance*float64(maxDelay))",
 	},
 	{
 		name: "stand_in_for_ever", file: coverFile, pkg: coverTests, args: only("TestReadersTakeOverAgain"),
-		old: "if c.standIn && (origin.Rank < 0 || origin.Rank > own.Rank) {", fault: "if c.standIn {",
+		old: "if c.substitute && (origin.Rank < 0 || origin.Rank > own.Rank) {", fault: "if c.substitute {",
 	},
 	{
 		name: "every_box_reads_until_it_knows_others", file: coverFile, pkg: coverTests, args: only("TestStart"),
-		old: "p.Boxes <= 1 && now.Sub(c.begun) < startTime", fault: "p.Boxes < 0 && now.Sub(c.begun) < startTime",
+		old: "p.Boxes <= 1 && now.Sub(c.started) < startTime", fault: "p.Boxes < 0 && now.Sub(c.started) < startTime",
 	},
 	{
 		name: "stand_ins_flood", file: coverFile, pkg: coverTests, args: only("TestPasses"),
