--- a/state/health/budget_test.go
+++ b/state/health/budget_test.go
@@ -9,7 +9,7 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// spend counts the retries that a budget allows at once.
+// spend returns the number of retries that a budget allows at once.
 func spend(b Budget) int {
 	n := 0
 	for range 10_000 {
@@ -27,8 +27,8 @@
 		requests, spent, want int
 	}{
 		"the reserve":                {0, 0, budgetMax},
-		"many requests save no more": {100_000, 0, budgetMax},
-		"nothing left":               {0, budgetMax, 0},
+		"the reserve is the maximum": {100_000, 0, budgetMax},
+		"nothing remaining":          {0, budgetMax, 0},
 		"a tenth of the requests":    {100, budgetMax, 9},
 	}
 	for name, c := range cases {
--- a/state/health/health_test.go
+++ b/state/health/health_test.go
@@ -13,9 +13,9 @@
 	"runridge.example/runridge/state/health"
 )
 
-// play gives a breaker a run of orders of which a part fails, and returns after how many
-// it was out first; 0 is never.
-func play(seed uint64, orders int, fails, usual float64) int {
+// firstEjection runs orders, of which a part fails, through a breaker. It returns the number of
+// orders until the first ejection, or 0 if there was none.
+func firstEjection(seed uint64, orders int, fails, usual float64) int {
 	r := rand.New(rand.NewPCG(seed, seed))
 	now := time.Unix(0, 0)
 	var b health.Breaker
@@ -33,39 +33,40 @@
 }
 
 func TestFailuresInARow(t *testing.T) {
-	convey.Convey("Where failures are rare, three in a row take an endpoint out", t, func() {
-		convey.So(play(1, 10, 1, 0), convey.ShouldEqual, 3)
+	convey.Convey("Where failures are rare, three in a row eject an endpoint", t, func() {
+		convey.So(firstEjection(1, 10, 1, 0), convey.ShouldEqual, 3)
 	})
-	convey.Convey("Where they are usual it takes more", t, func() {
-		convey.So(play(1, 20, 1, 0.15), convey.ShouldBeBetween, 6, 12)
+	convey.Convey("Where failures are usual, it takes more", t, func() {
+		convey.So(firstEjection(1, 20, 1, 0.15), convey.ShouldBeBetween, 6, 12)
 	})
 }
 
-// TestUsualErrorsTakeNobodyOut plays an application that answers a seventh of all
-// requests with an error, for a minute at 60 a second, and endpoints that have become
-// sick. With three failures in a row the first is taken out 8 to 15 times a minute.
-func TestUsualErrorsTakeNobodyOut(t *testing.T) {
-	outs, slowest := 0, 0
+// TestUsualErrorsDoNotEject runs an application that answers a seventh of all requests with an
+// error, for a minute at 60 requests per second, and endpoints that have become sick. If three
+// failures in a row ejected an endpoint, the healthy ones would be ejected 8 to 15 times a
+// minute.
+func TestUsualErrorsDoNotEject(t *testing.T) {
+	ejected, slowest := 0, 0
 	for seed := range uint64(20) {
-		if play(seed, 3600, 0.14, 0.14) > 0 {
-			outs++
+		if firstEjection(seed, 3600, 0.14, 0.14) > 0 {
+			ejected++
 		}
-		after := play(seed, 3600, 0.6, 0.14)
+		after := firstEjection(seed, 3600, 0.6, 0.14)
 		if after == 0 {
-			t.Fatalf("seed %d: an endpoint that fails six in ten stays", seed)
+			t.Fatalf("seed %d: an endpoint that fails six in ten orders is never ejected", seed)
 		}
 		slowest = max(slowest, after)
 	}
-	if outs > 2 {
-		t.Errorf("%d of 20 endpoints that are well were taken out within a minute", outs)
+	if ejected > 2 {
+		t.Errorf("%d of 20 healthy endpoints were ejected within a minute", ejected)
 	}
 	if slowest > 120 {
-		t.Errorf("an endpoint that fails six in ten got %d requests before it was out", slowest)
+		t.Errorf("an endpoint that fails six in ten orders got %d requests before it was ejected", slowest)
 	}
 }
 
-func TestBackFromBeingOut(t *testing.T) {
-	convey.Convey("Back, one more rare failure takes it out again, for longer", t, func() {
+func TestReturnAfterEjection(t *testing.T) {
+	convey.Convey("After its return, one more rare failure ejects it again", t, func() {
 		r := rand.New(rand.NewPCG(1, 1))
 		now := time.Unix(0, 0)
 		failure := health.Failure{Total: 3}
@@ -79,7 +80,7 @@
 		convey.So(b.Trial(later), convey.ShouldBeTrue)
 		b = b.WithTrial().WithFailure(later, health.DefaultConfig(), failure, r)
 		convey.So(b.OutFor(later), convey.ShouldBeGreaterThan, 0)
-		convey.Convey("One trial that goes well ends the trials, so that it gets its share of work again", func() {
+		convey.Convey("One successful trial ends the trials, so that it gets its share of work again", func() {
 			later = later.Add(b.OutFor(later))
 			b = b.WithTrial().WithSuccess(0)
 			convey.So(b.Out(later), convey.ShouldBeFalse)
@@ -90,7 +91,7 @@
 			convey.So(b.Out(later), convey.ShouldBeTrue)
 			convey.So(b.Trial(later.Add(b.OutFor(later))), convey.ShouldBeTrue)
 		})
-		convey.Convey("And some that go well clear it", func() {
+		convey.Convey("Several successes clear it", func() {
 			for range 40 {
 				b = b.WithSuccess(0)
 			}
@@ -100,23 +101,23 @@
 }
 
 func TestFailedTrials(t *testing.T) {
-	unreached := health.DefaultConfig()
-	unreached.Failures = 1
+	refusedConnection := health.DefaultConfig()
+	refusedConnection.Failures = 1
 	cases := map[string]struct {
 		usual float64
 		out   bool
 	}{
-		"where failures are rare one takes it out again": {usual: 0, out: true},
-		"where they are usual one says little":           {usual: 0.15, out: false},
+		"where failures are rare, one ejects it again": {usual: 0, out: true},
+		"where failures are usual, one says little":    {usual: 0.15, out: false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(1, 1))
 			now := time.Unix(0, 0)
-			b := health.Breaker{}.WithFailure(now, unreached, health.Failure{Total: 3}, r)
+			b := health.Breaker{}.WithFailure(now, refusedConnection, health.Failure{Total: 3}, r)
 			later := now.Add(b.OutFor(now))
 			if !b.Out(now) || !b.Trial(later) {
-				t.Fatal("a refused connection does not take the endpoint out")
+				t.Fatal("a refused connection does not eject the endpoint")
 			}
 			b = b.WithTrial().WithFailure(later, health.DefaultConfig(), health.Failure{Usual: c.usual, Total: 3}, r)
 			if b.Out(later) != c.out {
--- a/state/locality/delay.go
+++ b/state/locality/delay.go
@@ -8,58 +8,58 @@
 	"time"
 )
 
-// delayWindow is for how long the least round trip counts, and for as long again
-// as the one before it: some tens of probes, so that one that waited for a busy box
-// does not count, and a link that has become longer does within a minute.
+// delayWindow is how long the minimum round trip of a window is collected; the minimum of the
+// previous window also counts. That covers some tens of probes, so a probe that waited for a
+// busy box does not count, and a link that has become longer is noticed within a minute.
 const delayWindow = 30 * time.Second
 
-// Delays are the least round trips to other zones that were measured lately. It is
-// an immutable value; the zero value knows none.
+// Delays holds the recent minimum round trips to other zones. It is an immutable value; the
+// zero value holds none.
 type Delays struct {
-	zones map[string]leastDelay
+	zones map[string]minDelay
 }
 
-// leastDelay is the least round trip in the window that began at since, and in the
-// one before it; 0 is none.
-type leastDelay struct {
-	since       time.Time
-	now, before time.Duration
+// minDelay is the minimum round trip in the window that started at since, and in the previous
+// window; 0 means none.
+type minDelay struct {
+	since             time.Time
+	current, previous time.Duration
 }
 
-// With takes in a round trip to a zone.
+// With returns the delays after a round trip to a zone was measured.
 func (d Delays) With(zone string, at time.Time, roundTrip time.Duration) Delays {
 	if zone == "" || roundTrip <= 0 {
 		return d
 	}
-	least, known := d.zones[zone]
+	shortest, known := d.zones[zone]
 	switch {
 	case !known:
-		least = leastDelay{since: at, now: roundTrip}
-	case at.Sub(least.since) >= delayWindow:
-		least = leastDelay{since: at, now: roundTrip, before: least.now}
-	case roundTrip < least.now:
-		least.now = roundTrip
+		shortest = minDelay{since: at, current: roundTrip}
+	case at.Sub(shortest.since) >= delayWindow:
+		shortest = minDelay{since: at, current: roundTrip, previous: shortest.current}
+	case roundTrip < shortest.current:
+		shortest.current = roundTrip
 	default:
 		return d
 	}
 	zones := maps.Clone(d.zones)
 	if zones == nil {
-		zones = make(map[string]leastDelay)
+		zones = make(map[string]minDelay)
 	}
-	zones[zone] = least
+	zones[zone] = shortest
 	return Delays{zones: zones}
 }
 
-// RoundTrip is the least round trip to a zone; 0 is not known.
+// RoundTrip returns the minimum round trip to a zone; 0 if unknown.
 func (d Delays) RoundTrip(zone string) time.Duration {
-	least := d.zones[zone]
-	if least.before > 0 {
-		return min(least.now, least.before)
+	shortest := d.zones[zone]
+	if shortest.previous > 0 {
+		return min(shortest.current, shortest.previous)
 	}
-	return least.now
+	return shortest.current
 }
 
-// ToRegion is the least round trip to a region's zones; 0 is not known.
+// ToRegion returns the minimum round trip to the zones of a region; 0 if unknown.
 func (d Delays) ToRegion(m Map, region string) time.Duration {
 	shortest := time.Duration(0)
 	for zone := range d.zones {
@@ -73,7 +73,7 @@
 	return shortest
 }
 
-// All are the least round trips by zone.
+// All returns the minimum round trips by zone.
 func (d Delays) All() map[string]time.Duration {
 	out := make(map[string]time.Duration, len(d.zones))
 	for zone := range d.zones {
--- a/state/locality/delay_test.go
+++ b/state/locality/delay_test.go
@@ -13,7 +13,7 @@
 func TestDelays(t *testing.T) {
 	type measured struct {
 		zone string
-		// after is when, from the first one on.
+		// after is the time since the first measurement.
 		after, took time.Duration
 	}
 	const ms = time.Millisecond
@@ -22,14 +22,14 @@
 		want     time.Duration
 	}{
 		"nothing measured":                 {},
-		"another zone's":                   {measured: []measured{{"b-1", 0, 40 * ms}}},
-		"the least":                        {measured: []measured{{"a-1", 0, 9 * ms}, {"a-1", time.Second, ms}, {"a-1", 2 * time.Second, 80 * ms}}, want: ms},
+		"another zone":                     {measured: []measured{{"b-1", 0, 40 * ms}}},
+		"the minimum":                      {measured: []measured{{"a-1", 0, 9 * ms}, {"a-1", time.Second, ms}, {"a-1", 2 * time.Second, 80 * ms}}, want: ms},
 		"a busy box just after the window": {measured: []measured{{"a-1", 0, ms}, {"a-1", 31 * time.Second, 80 * ms}}, want: ms},
 		"a link that became longer": {
 			measured: []measured{{"a-1", 0, ms}, {"a-1", 31 * time.Second, 40 * ms}, {"a-1", 62 * time.Second, 41 * ms}},
 			want:     40 * ms,
 		},
-		"one that took no time": {measured: []measured{{"a-1", 0, 0}}},
+		"a round trip of zero": {measured: []measured{{"a-1", 0, 0}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/state/locality/locality.go
+++ b/state/locality/locality.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package locality knows which region each availability zone belongs to, how far
-// two zones are from each other, and which regions a request is allowed in. It is
-// pure, and its values are immutable.
+// Package locality maps availability zones to regions, and computes the distance between zones
+// and the regions that a request is allowed in. It does no I/O, and its values are immutable.
 package locality
 
 import (
@@ -14,7 +13,7 @@
 // Distance is how far two availability zones are from each other.
 type Distance uint8
 
-// Distances, the nearest first.
+// Distances in ascending order.
 const (
 	SameZone Distance = iota
 	SameRegion
@@ -26,19 +25,19 @@
 
 var distanceNames = [...]string{"same_zone", "same_region", "other_region"}
 
-// String gives the distance's name.
+// String returns the name of the distance.
 func (d Distance) String() string { return distanceNames[d] }
 
-// Map says which region each zone belongs to. The zero value knows no zone. Zones
-// that it does not know are in the only region that is named, or else together in one
-// without a name; so where none or one is named, all zones are in one.
+// Map maps each zone to its region. The zero value knows no zone. Unknown zones are in the only
+// named region if there is exactly one, else together in a region without a name. So if no
+// region or only one is named, all zones are in the same region.
 type Map struct {
 	regions map[string]string
-	// names are the regions, in order.
+	// names lists the regions in ascending order.
 	names []string
 }
 
-// New takes the region of each zone.
+// New returns a map of zones to regions.
 func New(regions map[string]string) Map {
 	return Map{
 		regions: maps.Clone(regions),
@@ -46,17 +45,17 @@
 	}
 }
 
-// Region is the region that is named for a zone; empty is none. What binds a request
-// to regions goes by it, as a zone that is left out may be anywhere.
+// Region returns the region that is named for a zone, or an empty string. Rules that bind a
+// request to regions use it, because an unnamed zone may be anywhere.
 func (m Map) Region(zone string) string { return m.regions[zone] }
 
-// Regions lists the regions.
+// Regions lists the named regions in ascending order.
 func (m Map) Regions() []string { return m.names }
 
-// Several says whether more than one region is named.
+// Several reports whether more than one region is named.
 func (m Map) Several() bool { return len(m.names) > 1 }
 
-// RegionsOf lists the regions that some zones are in.
+// RegionsOf lists the regions of the given zones.
 func (m Map) RegionsOf(zones []string) []string {
 	out := make([]string, 0, len(zones))
 	for _, zone := range zones {
@@ -66,7 +65,7 @@
 	return slices.Compact(out)
 }
 
-// Only is the region of a fleet that is in one.
+// Only returns the region of a fleet with a single named region, or an empty string.
 func (m Map) Only() string {
 	if len(m.names) == 1 {
 		return m.names[0]
@@ -74,8 +73,8 @@
 	return ""
 }
 
-// Of is the region that a zone counts as in for distance and duties: the one named for
-// it, or the only one there is.
+// Of returns the region of a zone for distances and duties: the one named for it, or the only
+// one there is.
 func (m Map) Of(zone string) string {
 	if m.Several() {
 		return m.Region(zone)
@@ -83,7 +82,7 @@
 	return m.Only()
 }
 
-// Distance is how far two zones are from each other.
+// Distance returns how far two zones are from each other.
 func (m Map) Distance(from, to string) Distance {
 	switch {
 	case from == to:
@@ -95,16 +94,15 @@
 	}
 }
 
-// Allowed is the set of regions that a request is allowed in. The zero value
-// allows all.
+// Allowed is the set of regions that a request is allowed in. The zero value allows all.
 type Allowed struct {
-	// bound says that only some are; regions are those.
+	// bound means that only the listed regions are allowed.
 	bound   bool
 	regions []string
 }
 
-// AllowedBy is the set of regions that each of several lists allows, such as that
-// of a route and that of a client account. An empty list binds nothing.
+// AllowedBy returns the intersection of several lists of allowed regions, such as those of a
+// route and of a client account. An empty list imposes no restriction.
 func AllowedBy(lists ...[]string) Allowed {
 	var out Allowed
 	for _, list := range lists {
@@ -119,10 +117,10 @@
 	return out
 }
 
-// Permits says whether the request may go to a region.
+// Permits reports whether the request may go to a region.
 func (a Allowed) Permits(region string) bool {
 	return !a.bound || slices.Contains(a.regions, region)
 }
 
-// Bound says whether some regions are not allowed, as far as this is known.
+// Bound reports whether the request is restricted to certain regions.
 func (a Allowed) Bound() bool { return a.bound }
--- a/state/locality/locality_test.go
+++ b/state/locality/locality_test.go
@@ -27,11 +27,11 @@
 func TestDistanceInOneRegion(t *testing.T) {
 	one := locality.New(map[string]string{"x": "a"})
 	if d := one.Distance("x", "other"); d != locality.SameRegion {
-		t.Errorf("a zone that is not named is at distance %s where there is one region", d)
+		t.Errorf("an unnamed zone is at distance %s with one region", d)
 	}
 	two := locality.New(map[string]string{"x": "a", "y": "b"})
 	if d := two.Distance("x", "other"); d != locality.OtherRegion {
-		t.Errorf("a zone that is not named is at distance %s where there are two regions", d)
+		t.Errorf("an unnamed zone is at distance %s with two regions", d)
 	}
 }
 
@@ -41,15 +41,15 @@
 		region string
 		want   bool
 	}{
-		"nothing binds":              {region: "a", want: true},
-		"empty lists bind nothing":   {lists: [][]string{{}, nil}, region: "a", want: true},
-		"the route's region":         {lists: [][]string{{"a"}, nil}, region: "a", want: true},
-		"another than the route's":   {lists: [][]string{{"a"}, nil}, region: "b"},
-		"another than the account's": {lists: [][]string{nil, {"a"}}, region: "b"},
-		"both allow it":              {lists: [][]string{{"a", "b"}, {"b"}}, region: "b", want: true},
-		"one of two does not":        {lists: [][]string{{"a", "b"}, {"b"}}, region: "a"},
-		"none in common":             {lists: [][]string{{"a"}, {"b"}}, region: "a"},
-		"a region that is unknown":   {lists: [][]string{{"a"}}, region: ""},
+		"no restriction":           {region: "a", want: true},
+		"empty lists":              {lists: [][]string{{}, nil}, region: "a", want: true},
+		"the route's region":       {lists: [][]string{{"a"}, nil}, region: "a", want: true},
+		"not the route's region":   {lists: [][]string{{"a"}, nil}, region: "b"},
+		"not the account's region": {lists: [][]string{nil, {"a"}}, region: "b"},
+		"both allow it":            {lists: [][]string{{"a", "b"}, {"b"}}, region: "b", want: true},
+		"one of two does not":      {lists: [][]string{{"a", "b"}, {"b"}}, region: "a"},
+		"none in common":           {lists: [][]string{{"a"}, {"b"}}, region: "a"},
+		"a region that is unknown": {lists: [][]string{{"a"}}, region: ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := locality.New(c.regions)
 			if m.Several() != c.several || m.Only() != c.only {
-				t.Errorf("several is %v, the only one %q", m.Several(), m.Only())
+				t.Errorf("several: %v, only region: %q", m.Several(), m.Only())
 			}
 			if got := m.RegionsOf([]string{"y", "x", "other", "x"}); !slices.Equal(got, c.of) {
 				t.Errorf("regions of zones are %q, want %q", got, c.of)
--- a/tests/mutants/shared.go
+++ b/tests/mutants/shared.go
@@ -77,7 +77,7 @@
 	},
 	{
 		name: "shorter_patience_counts_as_a_return", file: "state/estimate/patience.go", pkg: "./state/estimate", args: only("TestPatience"),
-		old: "		if v.wait == left {\n			return 0\n		}\n", fault: "",
+		old: "		if v.wait == remaining {\n			return 0\n		}\n", fault: "",
 	},
 	{
 		name: "lost_plain_slots_kept", file: "coordination/home/home.go", pkg: "./coordination/home", args: only("TestOldGrantsAreChecked"),
