--- a/state/account/account.go
+++ b/state/account/account.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package account finds the client account that holds a key. Keys are known by
-// their SHA-256 digests only.
+// Package account finds the client account that a key belongs to. Keys are stored only as
+// SHA-256 digests.
 package account
 
 import (
@@ -14,17 +14,17 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Digest is the SHA-256 of a key.
+// Digest is the SHA-256 digest of a key.
 type Digest [sha256.Size]byte
 
-// DigestOf is the digest of a key.
+// DigestOf returns the digest of a key.
 func DigestOf(key []byte) Digest { return sha256.Sum256(key) }
 
-// Hex is the digest as tables have it.
+// Hex returns the digest in hexadecimal, as tables store it.
 func (d Digest) Hex() string { return hex.EncodeToString(d[:]) }
 
-// Holds says whether a key is one of an account's. The time that it takes does not
-// tell how much of a digest fits.
+// Holds reports whether a key belongs to an account. It compares in constant time, so its
+// duration does not reveal how much of a digest matches.
 func Holds(a table.Account, d Digest) bool {
 	found := 0
 	for _, text := range a.KeysSHA256 {
@@ -33,15 +33,15 @@
 	return found == 1
 }
 
-// Index finds accounts by the digests of their keys. It is an immutable value
-// made from one table.
+// Index finds accounts by the digests of their keys. It is an immutable value that is built
+// from one table.
 type Index struct {
 	holders map[Digest]*table.Account
 	any     bool
 }
 
-// NewIndex makes the index of a table's accounts. Digests that cannot be read
-// belong to nobody; the table's check reports them.
+// NewIndex returns the index of a table's accounts. It ignores invalid digests; the validation
+// of the table reports them.
 func NewIndex(t table.Table) Index {
 	x := Index{holders: make(map[Digest]*table.Account, len(t.Accounts)), any: len(t.Accounts) > 0}
 	for i := range t.Accounts {
@@ -56,11 +56,11 @@
 	return x
 }
 
-// Any says whether there are accounts at all: without any, requests need no key.
+// Any reports whether there are any accounts; without accounts, requests need no key.
 func (x Index) Any() bool { return x.any }
 
-// Find is the account that holds a key. It takes no memory: 20 ns among 1,400
-// accounts with four keys each (BenchmarkFind). The account must not be changed.
+// Find returns the account that a key belongs to; the caller must not modify it. It does not
+// allocate: 20 ns among 1,400 accounts with four keys each (BenchmarkFind).
 func (x Index) Find(d Digest) (*table.Account, bool) {
 	a, ok := x.holders[d]
 	return a, ok
--- a/state/account/account_test.go
+++ b/state/account/account_test.go
@@ -22,13 +22,13 @@
 		want     string
 		any      bool
 	}{
-		"no accounts":           {},
-		"a key of several":      {[]table.Account{{Name: "a", KeysSHA256: []string{digest("k1"), digest("k2")}}}, "k2", "a", true},
-		"a key of another":      {[]table.Account{{Name: "a", KeysSHA256: []string{digest("k1")}}, {Name: "b", KeysSHA256: []string{digest("k2")}}}, "k2", "b", true},
-		"a key of nobody":       {[]table.Account{{Name: "a", KeysSHA256: []string{digest("k1")}}}, "k3", "", true},
-		"the empty key":         {[]table.Account{{Name: "a"}}, "", "", true},
-		"the digest as a key":   {[]table.Account{{Name: "a", KeysSHA256: []string{digest("k1")}}}, digest("k1"), "", true},
-		"a digest that is none": {[]table.Account{{Name: "a", KeysSHA256: []string{"k1"}}}, "k1", "", true},
+		"no accounts":         {},
+		"one of several keys": {[]table.Account{{Name: "a", KeysSHA256: []string{digest("k1"), digest("k2")}}}, "k2", "a", true},
+		"a key of b":          {[]table.Account{{Name: "a", KeysSHA256: []string{digest("k1")}}, {Name: "b", KeysSHA256: []string{digest("k2")}}}, "k2", "b", true},
+		"an unknown key":      {[]table.Account{{Name: "a", KeysSHA256: []string{digest("k1")}}}, "k3", "", true},
+		"the empty key":       {[]table.Account{{Name: "a"}}, "", "", true},
+		"the digest as a key": {[]table.Account{{Name: "a", KeysSHA256: []string{digest("k1")}}}, digest("k1"), "", true},
+		"an invalid digest":   {[]table.Account{{Name: "a", KeysSHA256: []string{"k1"}}}, "k1", "", true},
 	}
 	for name, c := range tables {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,8 @@
 	}
 }
 
-// manyAccounts is the two-year number of accounts, with four keys each.
+// manyAccounts returns a table with the number of accounts expected in two years, with four
+// keys each, and the digest of one key.
 func manyAccounts() (table.Table, account.Digest) {
 	var t table.Table
 	for i := range 1400 {
@@ -58,17 +59,18 @@
 	return t, account.DigestOf([]byte("700-2"))
 }
 
-// TestFindTakesNoMemory holds the bound that the request path is planned with.
-func TestFindTakesNoMemory(t *testing.T) {
-	convey.Convey("Finding an account takes no memory", t, func() {
+// TestFindDoesNotAllocate checks that finding an account does not allocate, as the budget of
+// the request path assumes.
+func TestFindDoesNotAllocate(t *testing.T) {
+	convey.Convey("Finding an account does not allocate", t, func() {
 		tab, key := manyAccounts()
 		x := account.NewIndex(tab)
 		convey.So(testing.AllocsPerRun(100, func() { _, _ = x.Find(key) }), convey.ShouldEqual, 0)
 	})
 }
 
-// BenchmarkFind: walking a list of 1,400 accounts and comparing hex digests, as
-// the product's own interface does for one account by name, took about 1,400
+// BenchmarkFind measures Find. Searching a list of 1,400 accounts by comparing hexadecimal
+// digests, as the product's own interface does for one account by name, took about 1,400
 // comparisons; the index takes one.
 func BenchmarkFind(b *testing.B) {
 	tab, key := manyAccounts()
--- a/state/example/example.go
+++ b/state/example/example.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package example has a table for each of the two users, at their sizes and
-// with their names. Rates are placeholders until the users' own figures are
-// known: the boxes learn the real ones.
+// Package example provides an example table for each of the two users, with their sizes and
+// names. Rates are placeholders until the users' own values are known; boxes learn the real
+// ones.
 package example
 
 import (
@@ -12,18 +12,18 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Names of the examples.
+// Names of the example tables.
 const (
 	Bogota  = "bogota"
 	Kolkata = "kolkata"
 )
 
-// Names lists the examples.
+// Names lists the names of the example tables.
 func Names() []string {
 	return []string{Bogota, Kolkata}
 }
 
-// Table returns the example of that name.
+// Table returns the example table with a name, and whether there is one.
 func Table(name string) (table.Table, bool) {
 	switch name {
 	case Bogota:
@@ -35,18 +35,18 @@
 	}
 }
 
-// site is what differs between the two users.
+// site holds the values in which the two examples differ.
 type site struct {
-	region       string
-	zones        []string
-	model, plain string
-	route        string
-	prefill      int
-	decode       int
-	plainCount   int
-	service      table.Service
-	inside, wide int64
-	accounts     []string
+	region              string
+	zones               []string
+	model, plain        string
+	route               string
+	prefill             int
+	decode              int
+	plainCount          int
+	service             table.Service
+	zoneLink, crossLink int64
+	accounts            []string
 }
 
 func bogota() table.Table {
@@ -63,9 +63,9 @@
 			FirstTokenMS: 490, FirstTokenMSPer1K: 80, PerTokenMS: 31,
 			WasteWeight: 0.2, MaxPromptTokens: 32_000, MaxOutputTokens: 512,
 		},
-		inside:   20 << 30,
-		wide:     6 << 30,
-		accounts: []string{"mesa-norte", "mesa-sur", "franquicia", "respuestas"},
+		zoneLink:  20 << 30,
+		crossLink: 6 << 30,
+		accounts:  []string{"mesa-norte", "mesa-sur", "franquicia", "respuestas"},
 	})
 }
 
@@ -83,13 +83,13 @@
 			FirstTokenMS: 490, FirstTokenMSPer1K: 80, PerTokenMS: 31,
 			WasteWeight: 0.8, MaxPromptTokens: 32_000, MaxOutputTokens: 512,
 		},
-		inside:   10 << 30,
-		wide:     2 << 30,
-		accounts: []string{"schools", "hostels", "shops"},
+		zoneLink:  10 << 30,
+		crossLink: 2 << 30,
+		accounts:  []string{"schools", "hostels", "shops"},
 	})
 }
 
-// Figures of the placeholder engines.
+// Values of the placeholder engines.
 const (
 	slots        = 40
 	kvTokens     = 160_000
@@ -131,9 +131,9 @@
 	}
 	for i, from := range s.zones {
 		for _, to := range s.zones[i:] {
-			rate := s.wide
+			rate := s.crossLink
 			if from == to {
-				rate = s.inside
+				rate = s.zoneLink
 			}
 			t.Links = append(t.Links, table.Link{From: from, To: to, BytesPerSecond: rate})
 		}
--- a/state/retry/budget_test.go
+++ b/state/retry/budget_test.go
@@ -16,17 +16,17 @@
 
 var bound = Config{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}
 
-// grown is the uptime of a box that started long ago, one of ten.
+// uptime is the uptime of a box that started long ago, and boxCount the number of boxes.
 const (
-	grown = time.Hour
-	ten   = 10
+	uptime   = time.Hour
+	boxCount = 10
 )
 
-// spend tries so many repeats and counts those that the budget allows.
+// spend tries a number of repeats and returns how many the budget allows.
 func spend(b Budget, tries int) (Budget, int) {
 	spent := 0
 	for range tries {
-		next, ok := b.WithRepeat(grown, bound, ten)
+		next, ok := b.WithRepeat(uptime, bound, boxCount)
 		if ok {
 			spent++
 		}
@@ -40,31 +40,31 @@
 		b, spent := spend(Budget{}, 100)
 		convey.So(spent, convey.ShouldEqual, 2)
 		for range 100 {
-			b = b.WithRequest(grown)
+			b = b.WithRequest(uptime)
 		}
 		_, more := spend(b, 100)
 		convey.So(spent+more, convey.ShouldEqual, 20)
 	})
-	convey.Convey("A box that has just started has no part of the slack yet", t, func() {
+	convey.Convey("The part of the slack grows with the uptime of a box", t, func() {
 		_, ok := Budget{}.WithRepeat(0, bound, 1)
 		convey.So(ok, convey.ShouldBeFalse)
 		_, ok = Budget{}.WithRepeat(5*time.Second, bound, 1)
 		convey.So(ok, convey.ShouldBeTrue)
 	})
-	convey.Convey("What was spent counts for a window", t, func() {
+	convey.Convey("Spent repeats count for one window", t, func() {
 		b, ok := Budget{}, true
 		for ok {
-			b, ok = b.WithRepeat(grown, bound, ten)
+			b, ok = b.WithRepeat(uptime, bound, boxCount)
 		}
-		_, ok = b.WithRepeat(grown+9*time.Second, bound, ten)
+		_, ok = b.WithRepeat(uptime+9*time.Second, bound, boxCount)
 		convey.So(ok, convey.ShouldBeFalse)
-		_, ok = b.WithRepeat(grown+11*time.Second, bound, ten)
+		_, ok = b.WithRepeat(uptime+11*time.Second, bound, boxCount)
 		convey.So(ok, convey.ShouldBeTrue)
 	})
 }
 
-// TestOracleBoxes checks the bound over all boxes in every window, with boxes
-// that lose their count in restarts.
+// TestOracleBoxes checks the bound over all boxes in every window, with boxes that lose their
+// counts in restarts.
 func TestOracleBoxes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const boxes = 8
@@ -91,7 +91,7 @@
 		}
 		for _, from := range repeats {
 			spent := within(repeats, from, from+bound.Window)
-			// Requests of the window or the one before count, whichever has more.
+			// The larger number of requests counts: that of the window or of the one before.
 			had := max(within(requests, from, from+bound.Window), within(requests, from-bound.Window, from))
 			if allowed := bound.Ratio*float64(had) + bound.Slack; float64(spent) > allowed {
 				t.Fatalf("%d repeats from %v, allowed %.1f", spent, from, allowed)
--- a/tests/mutants/routed.go
+++ b/tests/mutants/routed.go
@@ -108,7 +108,7 @@
 	},
 	{
 		name: "budget_after_restart", file: retryFile, pkg: "./state/retry", args: manyCases("TestOracleBoxes"),
-		old: "return c.Slack / float64(max(boxes, 1)) * grown", fault: "return c.Slack / float64(max(boxes, 1)) * max(grown, 1)",
+		old: "return c.Slack / float64(max(boxes, 1)) * ramp", fault: "return c.Slack / float64(max(boxes, 1)) * max(ramp, 1)",
 	},
 	{
 		name: "older_list_taken", file: directories, pkg: "./state/directory", args: manyCases("TestOracleDirectory"),
