--- a/state/poison/ledger_test.go
+++ b/state/poison/ledger_test.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// drawnSuspect returns a random suspect of a few endpoints, with some of the ends cleared.
-func drawnSuspect(t *rapid.T) Suspect {
+// randomSuspect returns a random suspect of a few endpoints, with some of the ends cleared.
+func randomSuspect(t *rapid.T) Suspect {
 	s := Suspect{Fingerprint: fingerprintFor(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")), Seen: start}
 	for _, id := range rapid.SliceOfN(rapid.StringMatching("e[0-9]"), 0, 6).Draw(t, "ends") {
 		s = s.merge(Suspect{Ends: []End{{
@@ -183,7 +183,7 @@
 // of them twice. Both must hold and block the same suspects and have the same digest.
 func TestBoxesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reported := rapid.SliceOfN(rapid.Custom(drawnSuspect), 0, 12).Draw(t, "learnt")
+		reported := rapid.SliceOfN(rapid.Custom(randomSuspect), 0, 12).Draw(t, "learnt")
 		var one, other Ledger
 		for _, s := range reported {
 			one, _ = one.With(start, s)
