--- a/coordination/relay/account.go
+++ b/coordination/relay/account.go
@@ -14,158 +14,158 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Reasons of refusals for the account's sake.
+// Reasons for refusals that concern the client account.
 const (
-	reasonNoKey        = "no_valid_key"
-	reasonUnknownKey   = "key_not_known"
-	reasonUnsure       = "key_not_known_here_yet"
-	reasonKeyWithdrawn = "key_withdrawn"
-	reasonOverQuota    = "over_quota"
-	reasonNoQuotaWord  = "quota_home_silent"
+	reasonNoKey           = "no_valid_key"
+	reasonUnknownKey      = "key_not_known"
+	reasonKeyUnconfirmed  = "key_not_known_here_yet"
+	reasonKeyWithdrawn    = "key_withdrawn"
+	reasonOverQuota       = "over_quota"
+	reasonQuotaHomeSilent = "quota_home_silent"
 )
 
 const (
-	// unsureRetry is when to come again to boxes that are about to learn of a
-	// newer table: changes are in force on all of 300 boxes within 0.2 s.
-	unsureRetry = 300 * time.Millisecond
-	// quotaRetry is when to come again while no box decides on an account: its
-	// home is found dead, and the next one decides, within two seconds.
+	// unconfirmedRetry is the retry delay while a newer table may know the key: changes are in
+	// force on all of 300 boxes within 0.2 s.
+	unconfirmedRetry = 300 * time.Millisecond
+	// quotaRetry is the retry delay while no box decides on an account's quota: a failed home
+	// is detected and replaced within two seconds.
 	quotaRetry = 500 * time.Millisecond
-	// quotaHoldShare is the part of its target that a request may wait for its
-	// quota. What waits longer is better told to come again.
-	quotaHoldShare = 0.125
+	// maxQuotaWaitShare is the part of its target that a request may wait for its quota. A
+	// request that would have to wait longer is refused with a retry delay instead.
+	maxQuotaWaitShare = 0.125
 )
 
-// holder finds the account that holds the request's key by the table in force,
-// and says whether the request may run without one.
-func (v *run) holder() (a *table.Account, free bool) {
-	v.r.mutex.Lock()
-	accounts := v.r.accounts
-	v.r.mutex.Unlock()
-	if v.q.Credential.Valid {
-		a, _ = accounts.Find(v.q.Credential.Key)
+// findAccount returns the account that holds the request's key by the table in force, and
+// reports whether the request may run without an account.
+func (h *handler) findAccount() (a *table.Account, anonymous bool) {
+	h.relay.mutex.Lock()
+	accounts := h.relay.accounts
+	h.relay.mutex.Unlock()
+	if h.request.Credential.Valid {
+		a, _ = accounts.Find(h.request.Credential.Key)
 	}
-	return a, v.route.Public || !accounts.Any()
+	return a, h.route.Public || !accounts.Any()
 }
 
-// identify finds the request's account, or refuses the request. A key that is not
-// known is refused for good only if no newer table may know it.
-func (v *run) identify() bool {
-	a, free := v.holder()
-	v.account = a
-	if a != nil || free {
-		v.bind()
+// identify sets the request's account, or refuses the request and returns false. An unknown key
+// is refused with 401 only if no newer table can know it.
+func (h *handler) identify() bool {
+	a, anonymous := h.findAccount()
+	h.account = a
+	if a != nil || anonymous {
+		h.resolveRegions()
 		return true
 	}
 	reason := reasonUnknownKey
-	if !v.q.Credential.Valid {
+	if !h.request.Credential.Valid {
 		reason = reasonNoKey
 	}
-	if v.q.Credential.Valid && v.r.cfg.Current != nil && !v.r.cfg.Current() {
-		v.refuse(http.StatusServiceUnavailable, reasonUnsure, unsureRetry)
+	if h.request.Credential.Valid && h.relay.cfg.Current != nil && !h.relay.cfg.Current() {
+		h.refuse(http.StatusServiceUnavailable, reasonKeyUnconfirmed, unconfirmedRetry)
 		return false
 	}
-	v.challenge(reason)
+	h.challenge(reason)
 	return false
 }
 
-// challenge refuses a request for want of a key that is known.
-func (v *run) challenge(reason string) {
-	v.ended("refused", reason)
-	v.c.Refuse(Refusal{Status: http.StatusUnauthorized, Reason: reason, Challenge: true})
+// challenge refuses a request that has no known key.
+func (h *handler) challenge(reason string) {
+	h.recordEnd("refused", reason)
+	h.caller.Refuse(Refusal{Status: http.StatusUnauthorized, Reason: reason, Challenge: true})
 }
 
-// withdrawn says that the request's key was taken away since it was identified. If
-// another account holds it now, that is the request's account. The regions that it and
-// the route allow now bind from here on.
-func (v *run) withdrawn() bool {
-	a, free := v.holder()
-	if a == nil && !free {
+// keyWithdrawn reports whether the request's key was removed after it had been identified.
+// Otherwise the request belongs to the account that holds the key now, and the regions that
+// this account and the route permit now apply.
+func (h *handler) keyWithdrawn() bool {
+	a, anonymous := h.findAccount()
+	if a == nil && !anonymous {
 		return true
 	}
-	v.account, v.quarantined = a, nil
-	v.bind()
+	h.account, h.quarantined = a, nil
+	h.resolveRegions()
 	return false
 }
 
-// accountName is the request's account; empty is none.
-func (v *run) accountName() string {
-	if v.account == nil {
+// accountName returns the name of the request's account; empty if none.
+func (h *handler) accountName() string {
+	if h.account == nil {
 		return ""
 	}
-	return v.account.Name
+	return h.account.Name
 }
 
-// priority is the account's, or else the route's; 0 is the most urgent.
-func (v *run) priority() int {
-	if v.account != nil && v.account.Priority != nil {
-		return *v.account.Priority
+// priority returns the priority of the account, or else of the route; 0 is the most urgent.
+func (h *handler) priority() int {
+	if h.account != nil && h.account.Priority != nil {
+		return *h.account.Priority
 	}
-	return v.route.Priority
+	return h.route.Priority
 }
 
-// admitted takes the request's cost from its account's quota, or refuses the
-// request at once.
-func (v *run) admitted(ctx context.Context) bool {
-	if v.account == nil || v.account.Quota == nil || v.r.cfg.Quotas == nil {
+// admitQuota takes the cost of the request from its account's quota, waiting if the quota has
+// to refill, or refuses the request and returns false.
+func (h *handler) admitQuota(ctx context.Context) bool {
+	if h.account == nil || h.account.Quota == nil || h.relay.cfg.Quotas == nil {
 		return true
 	}
-	cost := v.account.Quota.Cost(v.q.Prompt.Tokens, v.q.Prompt.Output)
-	said := v.r.cfg.Quotas.Admit(ctx, quota.Use{
-		ID:       v.id,
-		Account:  v.account.Name,
+	cost := h.account.Quota.Cost(h.request.Prompt.Tokens, h.request.Prompt.Output)
+	decision := h.relay.cfg.Quotas.Admit(ctx, quota.Use{
+		ID:       h.id,
+		Account:  h.account.Name,
 		Cost:     cost,
-		Wait:     time.Duration(quotaHoldShare * float64(v.route.Target())),
-		Patience: v.patience(),
+		Wait:     time.Duration(maxQuotaWaitShare * float64(h.route.Target())),
+		Patience: h.maxRetryAfter(),
 	})
-	v.logQuota(cost, said)
-	switch said.Outcome {
+	h.logQuota(cost, decision)
+	switch decision.Outcome {
 	case quota.Admitted:
-		v.charged, v.chargedTo = cost, v.account.Name
-		sleep.For(ctx, said.Wait)
+		h.charged, h.chargedTo = cost, h.account.Name
+		sleep.For(ctx, decision.Wait)
 		return true
 	case quota.Over:
-		v.refuse(http.StatusTooManyRequests, reasonOverQuota, v.retryTime(said.RetryAfter))
+		h.refuse(http.StatusTooManyRequests, reasonOverQuota, h.clampRetryAfter(decision.RetryAfter))
 	default:
-		v.conclude(ctx, result{kind: refused, reason: reasonNoQuotaWord, retryAfter: quotaRetry})
+		h.finish(ctx, result{kind: refused, reason: reasonQuotaHomeSilent, retryAfter: quotaRetry})
 	}
 	return false
 }
 
 // refund returns the cost of a request that reached no endpoint.
-func (v *run) refund() {
-	if v.charged > 0 && v.sends+v.prefills == 0 {
-		v.r.cfg.Quotas.GiveBack(v.chargedTo, v.charged)
+func (h *handler) refund() {
+	if h.charged > 0 && h.sends+h.prefills == 0 {
+		h.relay.cfg.Quotas.GiveBack(h.chargedTo, h.charged)
 	}
 }
 
-// quotaOutcomes name the outcomes in logs and metrics.
+// quotaOutcomes maps outcomes to their names in logs and metrics.
 var quotaOutcomes = map[quota.Outcome]string{quota.Admitted: "admitted", quota.Over: "over"}
 
-// logQuota writes what was decided on the account's quota and where. What the
-// box's own purse covers is told by the line at the request's end.
-func (v *run) logQuota(cost float64, said quota.Verdict) {
-	outcome, named := quotaOutcomes[said.Outcome]
+// logQuota logs and counts a decision on the account's quota. Decisions that the box made from
+// its own share of the quota are not logged here; the request_ended event covers them.
+func (h *handler) logQuota(cost float64, decision quota.Verdict) {
+	outcome, named := quotaOutcomes[decision.Outcome]
 	if !named {
 		outcome = "unanswered"
 	}
-	if v.r.cfg.Metrics != nil {
-		v.r.cfg.Metrics.QuotaDecided(v.account.Name, outcome)
+	if h.relay.cfg.Metrics != nil {
+		h.relay.cfg.Metrics.QuotaDecided(h.account.Name, outcome)
 	}
-	if said.From == "" {
+	if decision.From == "" {
 		return
 	}
-	v.r.cfg.Log.WithFields(log.Fields{
-		log.FieldRequest:    v.q.ID,
-		log.FieldAsk:        said.Ask.String(),
-		log.FieldGeneration: v.generation,
-		"account":           v.account.Name,
+	h.relay.cfg.Log.WithFields(log.Fields{
+		log.FieldRequest:    h.request.ID,
+		log.FieldAsk:        decision.Ask.String(),
+		log.FieldGeneration: h.generation,
+		"account":           h.account.Name,
 		"outcome":           outcome,
-		"home":              said.From,
+		"home":              decision.From,
 		"cost":              cost,
-		"lent_ahead":        said.More,
-		"wait_ms":           said.Wait.Milliseconds(),
-		"retry_ms":          said.RetryAfter.Milliseconds(),
-		"ms":                v.r.cfg.Now().Sub(v.q.Arrived).Milliseconds(),
+		"lent_ahead":        decision.More,
+		"wait_ms":           decision.Wait.Milliseconds(),
+		"retry_ms":          decision.RetryAfter.Milliseconds(),
+		"ms":                h.relay.cfg.Now().Sub(h.request.Arrived).Milliseconds(),
 	}).Info("quota_decided")
 }
--- a/coordination/relay/answer.go
+++ b/coordination/relay/answer.go
@@ -16,137 +16,140 @@
 )
 
 const (
-	// maxWhole is the largest answer that is read to its end before the caller
-	// gets any of it, in bytes.
-	maxWhole = 256 << 10
-	// maxPrefillAnswer bounds an engine's answer to a prefill.
+	// maxBufferedAnswer is the size of the largest answer that is read completely before any of
+	// it is sent to the caller, in bytes.
+	maxBufferedAnswer = 256 << 10
+	// maxPrefillAnswer limits an engine's answer to a prefill, in bytes.
 	maxPrefillAnswer = 64 << 10
 	pieceSize        = 8 << 10
-	// maxEvent bounds one event of a stream, in bytes.
+	// maxEvent limits one event of a stream, in bytes.
 	maxEvent = 1 << 20
 )
 
-// whole is an answer that was read to its end.
-type whole struct {
+// bufferedAnswer is an answer that was read completely.
+type bufferedAnswer struct {
 	answer *Answer
 	body   []byte
 }
 
-// take reads a plain answer to its end and passes it on. A cut answer has
-// reached nobody, so that another attempt may follow.
-func (v *run) take(ctx context.Context, id string, a *Answer) result {
-	h := v.r.cfg.Held.Open(held.Answer, v.q.ID, nil)
-	defer h.Close()
-	body, err := held.Read(a.Body, h, a.Length, maxWhole)
+// bufferAnswer reads an answer that is not a stream completely and then sends it to the caller.
+// If it is cut off, the caller has received nothing of it, so another attempt may follow.
+func (h *handler) bufferAnswer(ctx context.Context, id string, a *Answer) result {
+	hold := h.relay.cfg.Held.Open(held.Answer, h.request.ID, nil)
+	defer hold.Close()
+	body, err := held.Read(a.Body, hold, a.Length, maxBufferedAnswer)
 	switch {
 	case errors.Is(err, held.ErrTooLong), errors.Is(err, held.ErrNoRoom):
-		return v.takeLong(ctx, id, a, body)
+		return h.relayLong(ctx, id, a, body)
 	case err != nil:
-		return v.brokeOff(ctx, err, result{kind: failed, endpoint: id, reason: "answer_cut"})
+		return h.noteBreak(ctx, err, result{kind: failed, endpoint: id, reason: "answer_cut"})
 	}
-	v.suspect().Answered()
-	w := &whole{answer: a, body: body}
+	h.suspect().Answered()
+	b := &bufferedAnswer{answer: a, body: body}
 	if a.Status >= 500 {
-		v.fallback = w
+		h.fallback = b
 		return result{kind: failed, endpoint: id, answered: true, reason: "endpoint_failed"}
 	}
-	return v.pass(w)
+	return h.sendBuffered(b)
 }
 
-// pass gives the caller an endpoint's whole answer.
-func (v *run) pass(w *whole) result {
-	v.begun = true
-	v.firstAt = v.r.cfg.Now()
-	err := v.c.Head(w.answer.Status, w.answer.Header, int64(len(w.body)))
-	if err == nil && len(w.body) > 0 {
-		err = v.c.Write(w.body)
+// sendBuffered sends a complete answer to the caller.
+func (h *handler) sendBuffered(b *bufferedAnswer) result {
+	h.headSent = true
+	h.firstByteAt = h.relay.cfg.Now()
+	err := h.caller.Head(b.answer.Status, b.answer.Header, int64(len(b.body)))
+	if err == nil && len(b.body) > 0 {
+		err = h.caller.Write(b.body)
 	}
 	if err == nil {
-		err = v.c.End()
+		err = h.caller.End()
 	}
 	if err != nil {
-		return v.callerLeft(err)
+		return h.callerFailed(err)
 	}
-	v.ended("answered", strconv.Itoa(w.answer.Status))
+	h.recordEnd("answered", strconv.Itoa(b.answer.Status))
 	return result{}
 }
 
-// takeLong passes a long answer on as it comes.
-func (v *run) takeLong(ctx context.Context, id string, a *Answer, head []byte) result {
+// relayLong sends an answer that is too long to buffer to the caller as it arrives; head is the
+// part already read.
+func (h *handler) relayLong(ctx context.Context, id string, a *Answer, head []byte) result {
 	defer func() { _ = a.Body.Close() }()
-	v.begun = true
-	v.firstAt = v.r.cfg.Now()
-	err := v.c.Head(a.Status, a.Header, a.Length)
+	h.headSent = true
+	h.firstByteAt = h.relay.cfg.Now()
+	err := h.caller.Head(a.Status, a.Header, a.Length)
 	if err == nil {
-		err = v.write(head)
+		err = h.write(head)
 	}
 	buffer := make([]byte, pieceSize)
 	for err == nil {
-		n, readErr := v.read(a, buffer)
+		n, readErr := h.read(a, buffer)
 		if n > 0 {
-			err = v.write(buffer[:n])
+			err = h.write(buffer[:n])
 		}
 		if err != nil || readErr == nil {
 			continue
 		}
-		return v.endLong(ctx, id, a, readErr)
+		return h.finishLong(ctx, id, a, readErr)
 	}
-	return v.callerLeft(err)
+	return h.callerFailed(err)
 }
 
-// endLong ends a long answer that has come to its end, or broken off.
-func (v *run) endLong(ctx context.Context, id string, a *Answer, err error) result {
+// finishLong handles the end of a long answer: err is io.EOF at its end, or else the error that
+// interrupted it.
+func (h *handler) finishLong(ctx context.Context, id string, a *Answer, err error) result {
 	switch {
 	case errors.Is(err, io.EOF):
-		v.suspect().Answered()
-		if err := v.c.End(); err != nil {
-			return v.callerLeft(err)
+		h.suspect().Answered()
+		if err := h.caller.End(); err != nil {
+			return h.callerFailed(err)
 		}
-		v.ended("answered", strconv.Itoa(a.Status))
+		h.recordEnd("answered", strconv.Itoa(a.Status))
 		return result{}
-	case v.heldUp.lasts(v.r.cfg.Now()):
-		return v.gaveUpWaiting()
+	case h.stall.explainsBreak(h.relay.cfg.Now()):
+		return h.endStalled()
 	}
-	v.brokeOff(ctx, err, result{endpoint: id})
-	v.c.Break()
-	v.ended("broken", "answer_cut")
+	h.noteBreak(ctx, err, result{endpoint: id})
+	h.caller.Break()
+	h.recordEnd("broken", "answer_cut")
 	return result{}
 }
 
-// stream passes a stream on, event by event. Part of an event is held back
-// until the rest has come, so that the caller never has half of one.
-func (v *run) stream(ctx context.Context, id string, a *Answer) result {
+// relayStream sends a stream to the caller event by event. A partial event is held back until
+// the rest has arrived, so that the caller never receives an incomplete event and another
+// attempt can resume the stream.
+func (h *handler) relayStream(ctx context.Context, id string, a *Answer) result {
 	defer func() { _ = a.Body.Close() }()
-	h := v.r.cfg.Held.Open(held.Answer, v.q.ID, nil)
-	defer h.Close()
+	hold := h.relay.cfg.Held.Open(held.Answer, h.request.ID, nil)
+	defer hold.Close()
 	buffer := make([]byte, pieceSize)
-	pending := partial{hold: h}
+	pending := partialEvent{hold: hold}
 	var first time.Time
 	for {
-		n, err := v.read(a, buffer)
+		n, err := h.read(a, buffer)
 		if !pending.add(buffer[:n]) {
 			return result{kind: failed, reason: "no_room_for_event"}
 		}
 		if end := lastEventEnd(pending.data); end > 0 {
 			if first.IsZero() {
-				first = v.r.cfg.Now()
+				first = h.relay.cfg.Now()
 			} else {
-				v.steps += bytes.Count(pending.data[:end], eventEnd) * v.tokensPerEvent()
-				v.stepTime = v.r.cfg.Now().Sub(first)
+				h.steps += bytes.Count(pending.data[:end], eventEnd) * h.tokensPerEvent()
+				h.stepTime = h.relay.cfg.Now().Sub(first)
 			}
-			if err := v.forward(a, pending.data[:end]); err != nil {
-				return v.callerLeft(err)
+			if err := h.forwardEvents(a, pending.data[:end]); err != nil {
+				return h.callerFailed(err)
 			}
-			pending.drop(end)
+			pending.consume(end)
 		}
 		if errors.Is(err, io.EOF) {
-			return v.endStream(a, pending.data)
+			return h.finishStream(a, pending.data)
 		}
-		if err != nil && v.heldUp.lasts(v.r.cfg.Now()) {
-			return v.gaveUpWaiting()
+		if err != nil && h.stall.explainsBreak(h.relay.cfg.Now()) {
+			return h.endStalled()
 		}
 		if err != nil {
-			return v.brokeOff(ctx, err, result{kind: failed, endpoint: id, reason: "stream_cut"})
+			return h.noteBreak(ctx, err, result{kind: failed, endpoint: id, reason: "stream_cut"})
 		}
 		if len(pending.data) > maxEvent {
 			return result{kind: failed, endpoint: id, reason: "event_too_long"}
@@ -154,58 +157,59 @@
 	}
 }
 
-// tokensPerEvent is how many tokens one event of a stream stands for.
-func (v *run) tokensPerEvent() int {
-	if v.service.Engine == nil {
+// tokensPerEvent returns how many tokens one event of a stream represents.
+func (h *handler) tokensPerEvent() int {
+	if h.service.Engine == nil {
 		return 1
 	}
-	return max(v.service.Engine.TokensPerEvent, 1)
+	return max(h.service.Engine.TokensPerEvent, 1)
 }
 
-// notePiece keeps the longest pause between two pieces.
-func (v *run) notePiece() {
-	now := v.r.cfg.Now()
-	if !v.lastPiece.IsZero() {
-		v.longestGap = max(v.longestGap, now.Sub(v.lastPiece))
+// notePiece updates the longest pause between two pieces.
+func (h *handler) notePiece() {
+	now := h.relay.cfg.Now()
+	if !h.lastPiece.IsZero() {
+		h.longestGap = max(h.longestGap, now.Sub(h.lastPiece))
 	}
-	v.lastPiece = now
+	h.lastPiece = now
 }
 
-// forward gives the caller whole events. Those that it has are left out.
-func (v *run) forward(a *Answer, events []byte) error {
-	if !v.begun {
-		v.begun = true
-		v.firstAt = v.r.cfg.Now()
-		if err := v.c.Head(a.Status, a.Header, -1); err != nil {
+// forwardEvents sends complete events to the caller, without those it already has.
+func (h *handler) forwardEvents(a *Answer, events []byte) error {
+	if !h.headSent {
+		h.headSent = true
+		h.firstByteAt = h.relay.cfg.Now()
+		if err := h.caller.Head(a.Status, a.Header, -1); err != nil {
 			return err
 		}
 	}
-	v.notePiece()
-	fresh, last := newEvents(events, v.lastEvent)
+	h.notePiece()
+	fresh, last := newEvents(events, h.lastEvent)
 	if last != "" {
-		v.lastEvent = last
+		h.lastEvent = last
 	}
 	if len(fresh) == 0 {
 		return nil
 	}
-	return v.write(fresh)
+	return h.write(fresh)
 }
 
-// endStream ends an answer whose stream came to its end.
-func (v *run) endStream(a *Answer, rest []byte) result {
+// finishStream completes the answer after the stream has ended; rest is the data after the last
+// complete event.
+func (h *handler) finishStream(a *Answer, rest []byte) result {
 	if len(rest) > 0 {
 		return result{kind: failed, reason: "stream_ended_in_event"}
 	}
-	if !v.begun {
-		if err := v.forward(a, nil); err != nil {
-			return v.callerLeft(err)
+	if !h.headSent {
+		if err := h.forwardEvents(a, nil); err != nil {
+			return h.callerFailed(err)
 		}
 	}
-	v.suspect().Answered()
-	if err := v.c.End(); err != nil {
-		return v.callerLeft(err)
+	h.suspect().Answered()
+	if err := h.caller.End(); err != nil {
+		return h.callerFailed(err)
 	}
-	v.ended("answered", strconv.Itoa(a.Status))
+	h.recordEnd("answered", strconv.Itoa(a.Status))
 	return result{}
 }
 
@@ -214,7 +218,7 @@
 	idField  = []byte("id:")
 )
 
-// lastEventEnd is the length of the whole events at the start of p.
+// lastEventEnd returns the length of the complete events at the start of p.
 func lastEventEnd(p []byte) int {
 	at := bytes.LastIndex(p, eventEnd)
 	if at < 0 {
@@ -223,8 +227,8 @@
 	return at + len(eventEnd)
 }
 
-// newEvents leaves out the events up to the last one that the caller has, and
-// returns the last id among the rest.
+// newEvents removes the events up to the last one that the caller has, and returns the rest and
+// the last ID in it.
 func newEvents(events []byte, after string) (fresh []byte, last string) {
 	have, numbered := eventNumber(after)
 	fresh = events
@@ -244,7 +248,7 @@
 	return fresh, last
 }
 
-// eventID reads the id of one event; empty is none.
+// eventID returns the ID of one event; empty if it has none.
 func eventID(event []byte) string {
 	for _, line := range bytes.Split(event, []byte("\n")) {
 		if value, found := bytes.CutPrefix(line, idField); found {
@@ -259,55 +263,56 @@
 	return n, err == nil
 }
 
-// keptResult is a prefill result that an engine keeps for this run.
+// keptResult is a prefill result that an engine keeps for this request.
 type keptResult struct {
-	engine Endpoint
-	handle string
-	made   time.Time
+	engine    Endpoint
+	handle    string
+	createdAt time.Time
 }
 
-// source is how a decode engine is told of it.
+// source returns the address from which a decode engine fetches the result.
 func (k *keptResult) source() string { return k.engine.Address + "/" + k.handle }
 
-// free gives back the result that no engine has taken, if there is one.
-func (v *run) free() {
-	k := v.kept
+// freeKept releases the prefill result, if there is one that no engine has fetched.
+func (h *handler) freeKept() {
+	k := h.kept
 	if k == nil {
 		return
 	}
-	v.kept = nil
+	h.kept = nil
 	go func() {
-		if err := v.r.cfg.Endpoints.Free(context.Background(), k.engine, k.handle); err != nil {
-			v.r.cfg.Log.WithFields(log.Fields{log.FieldRequest: v.q.ID, log.FieldEngine: k.engine.ID}).WithError(err).Info("free_failed")
+		if err := h.relay.cfg.Endpoints.Free(context.Background(), k.engine, k.handle); err != nil {
+			h.relay.cfg.Log.WithFields(log.Fields{log.FieldRequest: h.request.ID, log.FieldEngine: k.engine.ID}).WithError(err).Info("free_failed")
 		}
 	}()
 }
 
-// keptShare is the part of a result's time in which it is offered again.
-const keptShare = 0.6
+// keptReuseShare is the part of a result's lifetime in which it is offered for reuse.
+const keptReuseShare = 0.6
 
-// keptFor is how long an engine keeps a result that nobody takes.
-func (v *run) keptFor() time.Duration {
-	kept := time.Duration(v.service.Engine.KeptMS) * time.Millisecond
+// keptTTL returns how long an engine keeps a result that is not fetched.
+func (h *handler) keptTTL() time.Duration {
+	kept := time.Duration(h.service.Engine.KeptMS) * time.Millisecond
 	if kept <= 0 {
 		return time.Second
 	}
 	return kept
 }
 
-// keptBy names the engine whose result this run can still use.
-func (v *run) keptBy() string {
-	if v.kept == nil {
+// reusableEngine returns the ID of the engine whose result can still be reused, or an empty
+// string.
+func (h *handler) reusableEngine() string {
+	if h.kept == nil {
 		return ""
 	}
-	if v.r.cfg.Now().Sub(v.kept.made) > time.Duration(keptShare*float64(v.keptFor())) {
-		v.free()
+	if h.relay.cfg.Now().Sub(h.kept.createdAt) > time.Duration(keptReuseShare*float64(h.keptTTL())) {
+		h.freeKept()
 		return ""
 	}
-	return v.kept.engine.ID
+	return h.kept.engine.ID
 }
 
-// readHandle reads an engine's answer to a prefill.
+// readHandle reads and parses an engine's answer to a prefill.
 func readHandle(a *Answer, parse func([]byte) (string, int, error)) (handle string, tokens int, err error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxPrefillAnswer))
 	if err != nil {
--- a/coordination/relay/budget_test.go
+++ b/coordination/relay/budget_test.go
@@ -17,45 +17,44 @@
 	"runridge.example/runridge/state/table"
 )
 
-// scripted are endpoints that fail one after the other with the errors of a script, and then
-// answer.
-type scripted struct {
+// failingEndpoints return the given errors one after the other, and then answer.
+type failingEndpoints struct {
 	errs  []error
 	sends int
 }
 
-func (s *scripted) Send(context.Context, Call) (*Answer, error) {
-	s.sends++
-	if s.sends <= len(s.errs) {
-		return nil, s.errs[s.sends-1]
+func (e *failingEndpoints) Send(context.Context, Call) (*Answer, error) {
+	e.sends++
+	if e.sends <= len(e.errs) {
+		return nil, e.errs[e.sends-1]
 	}
 	return &Answer{Status: http.StatusOK, Signed: true, Body: http.NoBody}, nil
 }
 
-func (s *scripted) Free(context.Context, Endpoint, string) error { return nil }
+func (e *failingEndpoints) Free(context.Context, Endpoint, string) error { return nil }
 
-// TestUnreachedEndpointsSpendNoBudget holds that a request which no endpoint has received is
-// offered to the next one although the retry budget is used up.
+// TestUnreachedEndpointsSpendNoBudget guards against refusing a request that no endpoint has
+// received because the retry budget is used up.
 func TestUnreachedEndpointsSpendNoBudget(t *testing.T) {
-	unreached, lost := adapter.ErrNotRun.New("refused"), adapter.ErrMayHaveRun.New("reset")
+	unreachable, lost := adapter.ErrNotRun.New("refused"), adapter.ErrMayHaveRun.New("reset")
 	cases := map[string]struct {
 		errs  []error
 		sends int
-		// reason is why it was refused; empty is answered.
+		// reason is the reason of the refusal; empty if the request was answered.
 		reason string
 	}{
-		"one is not reached":                   {errs: []error{unreached}, sends: 2},
-		"two are not reached":                  {errs: []error{unreached, unreached}, sends: 3},
-		"one loses its answer":                 {errs: []error{lost}, sends: 1, reason: "retry_budget"},
-		"one is not reached, another loses it": {errs: []error{unreached, lost}, sends: 2, reason: "retry_budget"},
+		"one endpoint is unreachable":                  {errs: []error{unreachable}, sends: 2},
+		"two endpoints are unreachable":                {errs: []error{unreachable, unreachable}, sends: 3},
+		"one endpoint loses its answer":                {errs: []error{lost}, sends: 1, reason: "retry_budget"},
+		"one is unreachable, another loses its answer": {errs: []error{unreachable, lost}, sends: 2, reason: "retry_budget"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ends, caller := &scripted{errs: c.errs}, &told{}
-				homes := &granting{places: allOne, plan: lifecycle.Plan{Mode: lifecycle.Recompute, Decode: "e-n1"}}
+				endpoints, caller := &failingEndpoints{errs: c.errs}, &recordingCaller{}
+				homes := &grantingHomes{groupsWithoutHomes: allOne, plan: lifecycle.Plan{Mode: lifecycle.Recompute, Decode: "e-n1"}}
 				d := directory.Directory{}.WithList(time.Now(), 1, []directory.Entry{{ID: "e-n1", Service: "s", Zone: "n1"}})
-				r := New(Config{Zone: "n1", Homes: homes, Directory: &known{d}, Endpoints: ends, Log: log.Discard(), NextID: func() lifecycle.RequestID { return lifecycle.RequestID{} }})
+				r := New(Config{Zone: "n1", Homes: homes, Directory: &staticDirectory{d}, Endpoints: endpoints, Log: log.Discard(), NextID: func() lifecycle.RequestID { return lifecycle.RequestID{} }})
 				homes.r = r
 				r.SetTable(table.Table{
 					Generation: 1, Services: []table.Service{{Name: "s", Kind: table.KindRouted}},
@@ -65,8 +64,8 @@
 					}},
 				})
 				r.Serve(t.Context(), Request{ID: "1", Host: "h", Path: "/a/x", Target: "/a/x", Method: http.MethodPost, Arrived: time.Now()}, caller)
-				if ends.sends != c.sends || caller.refusal.Reason != c.reason {
-					t.Errorf("sent %d times, refused for %q, want %d and %q", ends.sends, caller.refusal.Reason, c.sends, c.reason)
+				if endpoints.sends != c.sends || caller.refusal.Reason != c.reason {
+					t.Errorf("sent %d times, refused with reason %q, want %d and %q", endpoints.sends, caller.refusal.Reason, c.sends, c.reason)
 				}
 			})
 		})
--- a/coordination/relay/exchange.go
+++ b/coordination/relay/exchange.go
@@ -15,236 +15,237 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// mayArrive says whether the request may arrive at an endpoint once more. Its first
-// arrival is free; any other is paid for from the budget before it is known whether
-// it counts.
-func (v *run) mayArrive() bool {
-	if v.arrivals == 0 || v.paid > 0 {
+// allowArrival reports whether the request may be sent to an endpoint once more. The first
+// arrival is free; any other is taken from the retry budget before it is known whether it
+// counts.
+func (h *handler) allowArrival() bool {
+	if h.arrivals == 0 || h.prepaid > 0 {
 		return true
 	}
-	if !v.r.mayRepeat(v.service.Name) {
+	if !h.relay.spendRetry(h.service.Name) {
 		return false
 	}
-	v.paid++
+	h.prepaid++
 	return true
 }
 
-// noteArrival counts an arrival. A prefill that an engine takes up first counts as
-// none; one that is turned away does, or the arrivals after all boxes were killed would
-// pass the budget.
-func (v *run) noteArrival() {
-	if v.arrivals > 0 {
-		v.paid--
-	}
-	v.arrivals++
+// noteArrival counts an arrival. The first accepted prefill does not count. A rejected prefill
+// does: otherwise the arrivals after all boxes were killed would exceed the budget.
+func (h *handler) noteArrival() {
+	if h.arrivals > 0 {
+		h.prepaid--
+	}
+	h.arrivals++
 }
 
-// carryOut makes the exchanges of one grant.
-func (v *run) carryOut(ctx context.Context, a schedule.Ask, plan lifecycle.Plan) result {
+// execute makes the exchanges of one grant.
+func (h *handler) execute(ctx context.Context, a schedule.Ask, plan lifecycle.Plan) result {
 	if plan.Prefill == "" || plan.Mode == lifecycle.Recompute {
-		return v.send(ctx, plan.Decode, "")
+		return h.send(ctx, plan.Decode, "")
 	}
-	if !plan.Reuse || v.kept == nil {
-		v.free()
-		if res := v.prefill(ctx, plan.Prefill, a); res.kind != delivered {
+	if !plan.Reuse || h.kept == nil {
+		h.freeKept()
+		if res := h.prefill(ctx, plan.Prefill, a); res.kind != delivered {
 			return res
 		}
 	}
 	decode, ok := plan.Decode, true
 	if decode == "" {
-		decode, ok = v.awaitSlot(ctx, a.ID, v.keptFor()*7/10)
+		decode, ok = h.awaitSlot(ctx, a.ID, h.keptTTL()*7/10)
 	}
 	if !ok {
 		return result{kind: refused, reason: string(lifecycle.ReasonHopeless), retryAfter: noSlotRetry}
 	}
-	res := v.send(ctx, decode, v.kept.source())
+	res := h.send(ctx, decode, h.kept.source())
 	switch {
 	case res.silent:
-		// The engine may never have got the request, and what it fetches for an
-		// exchange that has ended is of no use.
-		v.free()
+		// The engine may not have received the request, and a result that it fetches for an
+		// interrupted exchange is of no use.
+		h.freeKept()
 	case res.kind == delivered || res.kind == failed:
-		// The engine has fetched it; one that turned the request away has not.
-		v.kept = nil
+		// The engine has fetched the result; an engine that rejected the request has not.
+		h.kept = nil
 	}
 	return res
 }
 
-// noSlotRetry is when to come again after a prefill that found no slot.
+// noSlotRetry is the retry delay after a prefill for which no decode engine was assigned.
 const noSlotRetry = 500 * time.Millisecond
 
-// prefillPatience is how many times the target a prefill may take.
-const prefillPatience = 1.5
+// prefillTimeoutFactor is the timeout of a prefill as a multiple of the route's target.
+const prefillTimeoutFactor = 1.5
 
-// barredNow is why the request may go to no endpoint any more; empty is that it may.
-// What was true when it came may have changed while it waited.
-func (v *run) barredNow() string {
+// stopReason returns why the request may not be sent to any endpoint any more, or an empty
+// string. The key and the quarantine may have changed while the request waited.
+func (h *handler) stopReason() string {
 	switch {
-	case v.withdrawn():
+	case h.keyWithdrawn():
 		return reasonKeyWithdrawn
-	case v.suspect().Poisonous():
+	case h.suspect().Poisonous():
 		return reasonPoison
 	default:
 		return ""
 	}
 }
 
-// prefill has the prompt read and tells the home.
-func (v *run) prefill(ctx context.Context, id string, a schedule.Ask) result {
-	if reason := v.barredNow(); reason != "" {
+// prefill sends the prompt to a prefill engine, stores the result in h.kept and notifies the
+// home.
+func (h *handler) prefill(ctx context.Context, id string, a schedule.Ask) result {
+	if reason := h.stopReason(); reason != "" {
 		return result{kind: refused, reason: reason}
 	}
-	engine, reason := v.endpoint(id)
+	engine, reason := h.endpoint(id)
 	if reason != "" {
 		return result{kind: unsent, endpoint: id, reason: reason}
 	}
-	if !v.mayPrefill(id) {
+	if !h.mayPrefill(id) {
 		return result{kind: unsent, endpoint: id, reason: reasonNotCounted}
 	}
-	if !v.mayArrive() {
-		return result{kind: refused, reason: "retry_budget", retryAfter: leastRetry}
+	if !h.allowArrival() {
+		return result{kind: refused, reason: "retry_budget", retryAfter: minRetryAfter}
 	}
-	v.prefills++
-	call := v.call(engine)
+	h.prefills++
+	call := h.newCall(engine)
 	call.Prefill = true
 	call.LastEvent = ""
-	bounded, cancel := context.WithTimeout(ctx, time.Duration(float64(v.route.Target())*prefillPatience))
+	bounded, cancel := context.WithTimeout(ctx, time.Duration(float64(h.route.Target())*prefillTimeoutFactor))
 	defer cancel()
-	begin := v.r.cfg.Now()
-	v.sentAt = begin
-	answer, err := v.r.cfg.Endpoints.Send(bounded, call)
+	begin := h.relay.cfg.Now()
+	h.sentAt = begin
+	answer, err := h.relay.cfg.Endpoints.Send(bounded, call)
 	if err != nil {
 		unreached := adapter.RanOf(err) == lifecycle.NotRun
 		if !unreached {
-			v.noteArrival()
+			h.noteArrival()
 		}
-		return v.brokeOff(ctx, err, result{kind: turnedAway, endpoint: engine.ID, unreached: unreached, reason: "prefill_unanswered"})
+		return h.noteBreak(ctx, err, result{kind: turnedAway, endpoint: engine.ID, unreached: unreached, reason: "prefill_unanswered"})
 	}
 	if answer.NotRun || !answer.Success() {
-		v.noteArrival()
-		v.noteLeft(answer, engine)
+		h.noteArrival()
+		h.noteAddressTaken(answer, engine)
 		_ = answer.Discard()
 		return result{kind: turnedAway, endpoint: engine.ID, full: answer.NotRun && !answer.OtherHere, reason: "prefill_refused"}
 	}
-	if v.takenUp {
-		v.noteArrival()
+	if h.prefillAccepted {
+		h.noteArrival()
 	}
-	v.takenUp = true
-	handle, tokens, err := readHandle(answer, v.r.cfg.ParsePrefill)
+	h.prefillAccepted = true
+	handle, tokens, err := readHandle(answer, h.relay.cfg.ParsePrefill)
 	if err != nil {
 		return result{kind: turnedAway, endpoint: engine.ID, reason: "prefill_garbled"}
 	}
-	v.mutex.Lock()
-	v.adopted.Prefilled = true
-	v.mutex.Unlock()
-	v.counted.Prefilled = v.r.cfg.Now()
-	v.tell(home.Prefilled{ID: a.ID, Computed: tokens, Worked: v.r.cfg.Now().Sub(begin)})
-	v.kept = &keptResult{engine: engine, handle: handle, made: v.r.cfg.Now()}
-	v.r.cfg.Log.WithFields(log.Fields{
-		log.FieldRequest: v.q.ID,
+	h.mutex.Lock()
+	h.adopted.Prefilled = true
+	h.mutex.Unlock()
+	h.counted.Prefilled = h.relay.cfg.Now()
+	h.notifyHome(home.Prefilled{ID: a.ID, Computed: tokens, Worked: h.relay.cfg.Now().Sub(begin)})
+	h.kept = &keptResult{engine: engine, handle: handle, createdAt: h.relay.cfg.Now()}
+	h.relay.cfg.Log.WithFields(log.Fields{
+		log.FieldRequest: h.request.ID,
 		log.FieldAsk:     a.ID.String(),
 		log.FieldEngine:  engine.ID,
 		"tokens":         tokens,
-		"took_ms":        v.r.cfg.Now().Sub(begin).Milliseconds(),
+		"took_ms":        h.relay.cfg.Now().Sub(begin).Milliseconds(),
 	}).Info("prefilled")
 	return result{}
 }
 
-// noteLeft tells the directory of an address that another endpoint has now.
-func (v *run) noteLeft(a *Answer, e Endpoint) {
+// noteAddressTaken informs the directory if another endpoint now has the address of e.
+func (h *handler) noteAddressTaken(a *Answer, e Endpoint) {
 	if a.OtherHere {
-		v.r.cfg.Directory.Left(e.ID)
+		h.relay.cfg.Directory.Left(e.ID)
 	}
 }
 
-// call is the request as it goes to an endpoint.
-func (v *run) call(e Endpoint) Call {
+// newCall returns the request as it is sent to an endpoint.
+func (h *handler) newCall(e Endpoint) Call {
 	return Call{
 		Endpoint:  e,
-		Method:    v.q.Method,
-		Target:    v.q.Target,
-		Host:      v.q.Host,
-		RequestID: v.q.ID,
-		Header:    v.header(),
-		Body:      v.q.Body,
-		HasBody:   v.q.HasBody,
-		Left:      time.Until(v.deadline),
-		LastEvent: v.lastEvent,
-		Account:   v.accountName(),
+		Method:    h.request.Method,
+		Target:    h.request.Target,
+		Host:      h.request.Host,
+		RequestID: h.request.ID,
+		Header:    h.requestHeader(),
+		Body:      h.request.Body,
+		HasBody:   h.request.HasBody,
+		Left:      time.Until(h.deadline),
+		LastEvent: h.lastEvent,
+		Account:   h.accountName(),
 	}
 }
 
-// header are the fields that travel with the request. What the caller showed for
-// itself is among them only where no table of this box ever had accounts.
-func (v *run) header() []Field {
-	v.r.mutex.Lock()
-	keyed := v.r.keyed
-	v.r.mutex.Unlock()
-	if keyed || len(v.q.Credential.Opaque) == 0 {
-		return v.q.Header
-	}
-	return slices.Concat(v.q.Header, v.q.Credential.Opaque)
+// requestHeader returns the header fields that are forwarded. The caller's credentials are
+// among them only if no table of this process ever had accounts.
+func (h *handler) requestHeader() []Field {
+	h.relay.mutex.Lock()
+	keyed := h.relay.hadAccounts
+	h.relay.mutex.Unlock()
+	if keyed || len(h.request.Credential.Opaque) == 0 {
+		return h.request.Header
+	}
+	return slices.Concat(h.request.Header, h.request.Credential.Opaque)
 }
 
-// send sends the request to an endpoint and passes its answer on.
-func (v *run) send(ctx context.Context, id, source string) result {
-	if reason := v.barredNow(); reason != "" {
+// send sends the request to an endpoint and relays its answer.
+func (h *handler) send(ctx context.Context, id, source string) result {
+	if reason := h.stopReason(); reason != "" {
 		return result{kind: refused, reason: reason}
 	}
-	e, reason := v.endpoint(id)
+	e, reason := h.endpoint(id)
 	if reason != "" {
 		return result{kind: unsent, endpoint: id, reason: reason}
 	}
-	if !v.mayDecode(id) {
+	if !h.mayDecode(id) {
 		return result{kind: unsent, endpoint: id, reason: reasonNotCounted}
 	}
-	if !v.mayArrive() {
-		return result{kind: refused, reason: "retry_budget", retryAfter: leastRetry}
+	if !h.allowArrival() {
+		return result{kind: refused, reason: "retry_budget", retryAfter: minRetryAfter}
 	}
-	v.sends++
-	call := v.call(e)
+	h.sends++
+	call := h.newCall(e)
 	call.Source = source
-	v.sentAt = v.r.cfg.Now()
-	answer, err := v.r.cfg.Endpoints.Send(ctx, call)
+	h.sentAt = h.relay.cfg.Now()
+	answer, err := h.relay.cfg.Endpoints.Send(ctx, call)
 	unreached := err != nil && adapter.RanOf(err) == lifecycle.NotRun
 	if !unreached {
-		v.noteArrival()
+		h.noteArrival()
 	}
 	if err != nil {
 		if unreached {
-			return v.brokeOff(ctx, err, result{kind: turnedAway, endpoint: id, unreached: true, reason: "endpoint_unreached"})
+			return h.noteBreak(ctx, err, result{kind: turnedAway, endpoint: id, unreached: true, reason: "endpoint_unreached"})
 		}
-		v.runs++
-		return v.brokeOff(ctx, err, result{kind: failed, endpoint: id, silent: true, reason: "endpoint_unanswered"})
+		h.runs++
+		return h.noteBreak(ctx, err, result{kind: failed, endpoint: id, silent: true, reason: "endpoint_unanswered"})
 	}
 	if answer.NotRun {
-		v.noteLeft(answer, e)
+		h.noteAddressTaken(answer, e)
 		_ = answer.Discard()
 		return result{kind: turnedAway, endpoint: id, full: !answer.OtherHere, reason: "endpoint_turned_away"}
 	}
-	v.runs++
+	h.runs++
 	if !answer.Signed || answer.Encoded {
 		_ = answer.Body.Close()
 		return result{kind: failed, endpoint: id, reason: "answer_not_signed"}
 	}
-	if v.route.Stream() && answer.Success() {
-		return v.stream(ctx, id, answer)
+	if h.route.Stream() && answer.Success() {
+		return h.relayStream(ctx, id, answer)
 	}
-	return v.take(ctx, id, answer)
+	return h.bufferAnswer(ctx, id, answer)
 }
 
-// brokeOff adds to the result of an exchange how it broke off. The endpoint is not to
-// blame where the request itself was ended.
-func (v *run) brokeOff(ctx context.Context, err error, res result) result {
-	res.broke, res.ran = adapter.BreakOf(err), v.r.cfg.Now().Sub(v.sentAt)
+// noteBreak adds the cause of an interrupted exchange to its result and reports it to the
+// metrics and the quarantine. The endpoint is not blamed if the request itself was canceled or
+// timed out.
+func (h *handler) noteBreak(ctx context.Context, err error, res result) result {
+	res.broke, res.ran = adapter.BreakOf(err), h.relay.cfg.Now().Sub(h.sentAt)
 	if ctx.Err() != nil {
 		res.broke, res.endpoint = adapter.BreakOwn, ""
 	}
-	if v.r.cfg.Metrics != nil {
-		v.r.cfg.Metrics.BrokeOff(v.service.Name, string(res.broke))
+	if h.relay.cfg.Metrics != nil {
+		h.relay.cfg.Metrics.BrokeOff(h.service.Name, string(res.broke))
 	}
 	if !res.unreached {
-		v.suspect().BrokeOff(res.endpoint, res.broke, res.ran)
+		h.suspect().BrokeOff(res.endpoint, res.broke, res.ran)
 	}
 	return res
 }
--- a/coordination/relay/late_test.go
+++ b/coordination/relay/late_test.go
@@ -18,12 +18,12 @@
 		wait  time.Duration
 		want  time.Duration
 	}{
-		"a first try":                        {route: "a", wait: whole},
-		"one that comes back":                {route: "a", wait: 9500 * time.Millisecond, want: 4500 * time.Millisecond},
-		"one that does not say how long":     {route: "a"},
-		"one of a route with a shorter time": {route: "b", wait: 3 * time.Second},
-		"one that always starts with less":   {route: "c", wait: 6 * time.Second},
-		"one that waits longer than all yet": {route: "a", wait: 20 * time.Second},
+		"first try":                                {route: "a", wait: whole},
+		"retry with less time left":                {route: "a", wait: 9500 * time.Millisecond, want: 4500 * time.Millisecond},
+		"wait not stated":                          {route: "a"},
+		"first caller of another route":            {route: "b", wait: 3 * time.Second},
+		"route whose callers also start with less": {route: "c", wait: 6 * time.Second},
+		"longer wait than any before":              {route: "a", wait: 20 * time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -48,17 +48,17 @@
 		begun bool
 		want  bool
 	}{
-		"a stream whose caller's patience is known": {route: stream, want: true},
-		"a stream whose caller's is not":            {route: table.Route{Repeat: table.RepeatStream, TargetMS: 900}},
-		"a plain request":                           {route: table.Route{Repeat: table.RepeatSafe, TargetMS: 300}, want: true},
-		"a plain request without a target":          {route: table.Route{Repeat: table.RepeatSafe}},
-		"a stream that goes on after an event":      {route: stream, after: "12"},
-		"a stream that has begun":                   {route: stream, begun: true},
+		"stream with a known caller patience":    {route: stream, want: true},
+		"stream without a known caller patience": {route: table.Route{Repeat: table.RepeatStream, TargetMS: 900}},
+		"plain request":                          {route: table.Route{Repeat: table.RepeatSafe, TargetMS: 300}, want: true},
+		"plain request without a target":         {route: table.Route{Repeat: table.RepeatSafe}},
+		"stream resumed after an event":          {route: stream, after: "12"},
+		"stream whose answer has begun":          {route: stream, begun: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			v := &run{route: c.route, q: Request{LastEvent: c.after}, begun: c.begun}
-			if got := v.mayBeLate(); got != c.want {
+			h := &handler{route: c.route, request: Request{LastEvent: c.after}, headSent: c.begun}
+			if got := h.mayBeLate(); got != c.want {
 				t.Errorf("may be late: %v, want %v", got, c.want)
 			}
 		})
--- a/coordination/relay/paced.go
+++ b/coordination/relay/paced.go
@@ -11,16 +11,18 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// An endpoint that is cold, or names a limit, gets only what its group's home has counted
-// for it, and only while that counts: a request that no home has placed is not sent there.
+// An endpoint that is cold or announces a limit receives only requests that the home of its
+// group has counted for it, and only while that count is valid. A box that places a request
+// without a home does not use such endpoints.
 
-// countedBy is what a grant has counted. Asked is when the home was first asked: what
-// the ask did not wait there, it was under way.
-func countedBy(g schedule.Grant, asked time.Time) pace.Counted {
-	return pace.Counted{Prefill: g.PacedPrefill, Decode: g.PacedDecode, Granted: asked.Add(g.Held)}
+// countedBy returns what a grant has counted. askedAt is when the home was first asked; the
+// grant is dated by it plus the time the ask waited there, so that the time on the network
+// counts as elapsed.
+func countedBy(g schedule.Grant, askedAt time.Time) pace.Counted {
+	return pace.Counted{Prefill: g.PacedPrefill, Decode: g.PacedDecode, Granted: askedAt.Add(g.Held)}
 }
 
-// SetColdBound replaces the bound on what cold endpoints get.
+// SetColdBound replaces the limit on requests to cold endpoints.
 func (r *Relay) SetColdBound(b pace.Bound) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -33,30 +35,33 @@
 	return r.cfg.Cold
 }
 
-// isCold says whether an endpoint is cold and bounded, as far as this box knows.
-func (v *run) isCold(w directory.Status) bool {
-	if !v.r.coldBound().Applies(v.service.ColdPace) {
+// isCold reports whether an endpoint is cold and limited for that, as far as this box knows.
+func (h *handler) isCold(w directory.Status) bool {
+	if !h.relay.coldBound().Applies(h.service.ColdPace) {
 		return false
 	}
-	start := time.Duration(v.service.ColdMS) * time.Millisecond
-	return v.r.cfg.Now().Before(w.ColdEnd(start))
+	start := time.Duration(h.service.ColdMS) * time.Millisecond
+	return h.relay.cfg.Now().Before(w.ColdEnd(start))
 }
 
-// mayPrefill and mayDecode say whether an endpoint may get the request now. One that
-// a home has counted it for is bounded here too.
-func (v *run) mayPrefill(id string) bool {
-	return !v.counted.Prefill && !v.bounded(id) || v.counted.PrefillAt(v.r.cfg.Now())
+// mayPrefill reports whether the prefill may be sent to an endpoint now. An endpoint that the
+// home has counted the attempt for is limited even if this box does not know it as cold or
+// limited.
+func (h *handler) mayPrefill(id string) bool {
+	return !h.counted.Prefill && !h.isPaced(id) || h.counted.PrefillAt(h.relay.cfg.Now())
 }
 
-func (v *run) mayDecode(id string) bool {
-	return !v.counted.Decode && !v.bounded(id) || v.counted.DecodeAt(v.r.cfg.Now())
+// mayDecode is like mayPrefill, for the request for the answer.
+func (h *handler) mayDecode(id string) bool {
+	return !h.counted.Decode && !h.isPaced(id) || h.counted.DecodeAt(h.relay.cfg.Now())
 }
 
-// bounded says whether an endpoint is cold or names a limit, as far as this box knows.
-func (v *run) bounded(id string) bool {
-	w, known := v.r.cfg.Directory.Directory().Status(id)
-	return known && v.isCold(w) || v.r.cfg.Notices.Limited(id)
+// isPaced reports whether an endpoint is cold or announces a limit, as far as this box knows.
+func (h *handler) isPaced(id string) bool {
+	w, known := h.relay.cfg.Directory.Directory().Status(id)
+	return known && h.isCold(w) || h.relay.cfg.Notices.Limited(id)
 }
 
-// reasonNotCounted is why an attempt ended that no home has counted for its endpoint.
+// reasonNotCounted is the reason of an attempt that ended because no home had counted it for
+// its endpoint.
 const reasonNotCounted = "endpoint_not_counted"
--- a/coordination/relay/paced_test.go
+++ b/coordination/relay/paced_test.go
@@ -18,17 +18,18 @@
 	"runridge.example/runridge/state/table"
 )
 
-// coldRun is a request for a service whose endpoint "warm" is warm and "cold" cold.
-func coldRun(bound pace.Bound, now time.Time) *run {
+// coldHandler returns the handler of a request for a service with a warm endpoint "warm" and a
+// cold endpoint "cold".
+func coldHandler(bound pace.Bound, now time.Time) *handler {
 	entries := []directory.Entry{
 		{ID: "warm", Service: "s", Stage: directory.StageDecode},
 		{ID: "cold", Service: "s", Stage: directory.StageDecode, ColdFor: time.Minute},
 	}
 	r := New(Config{
 		Log: log.Discard(), Cold: bound, Now: func() time.Time { return now },
-		Directory: &known{directory.Directory{}.WithList(now, 1, entries)},
+		Directory: &staticDirectory{directory.Directory{}.WithList(now, 1, entries)},
 	})
-	return &run{r: r, service: table.Service{Name: "s", ColdPace: 1}}
+	return &handler{relay: r, service: table.Service{Name: "s", ColdPace: 1}}
 }
 
 var someBound = pace.Bound{Overage: 1.5, Slack: 5}
@@ -39,17 +40,17 @@
 		avoid []string
 		want  map[string]bool
 	}{
-		"the warm one alone":              {bound: someBound, want: map[string]bool{"warm": true}},
-		"none is better than a cold one":  {bound: someBound, avoid: []string{"warm"}, want: map[string]bool{"": true}},
-		"both where nothing bounds a few": {want: map[string]bool{"warm": true, "cold": true}},
+		"only the warm endpoint":                 {bound: someBound, want: map[string]bool{"warm": true}},
+		"none if only a cold one is left":        {bound: someBound, avoid: []string{"warm"}, want: map[string]bool{"": true}},
+		"both if cold endpoints are not limited": {want: map[string]bool{"warm": true, "cold": true}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			got := make(map[string]bool)
 			for n := range uint64(8) {
-				v := coldRun(c.bound, time.Now())
-				v.id.Sequence, v.avoid = n, c.avoid
-				plan, _ := v.placeAlone()
+				h := coldHandler(c.bound, time.Now())
+				h.id.Sequence, h.avoid = n, c.avoid
+				plan, _ := h.placeWithoutHome()
 				got[plan.Decode] = true
 			}
 			if len(got) != len(c.want) {
@@ -71,40 +72,40 @@
 	cases := map[string]struct {
 		endpoint string
 		grant    schedule.Grant
-		// after is the time since the first question, and told how long before it the
-		// home was told that the prefill is done; 0 is not yet.
+		// after is the time since the home was first asked, and told how long ago the home was
+		// notified that the prefill is done; 0 if it was not.
 		after, told     time.Duration
 		prefill, decode bool
 	}{
-		"a warm one": {endpoint: "warm", prefill: true, decode: true},
-		"a cold one that its home takes for warm": {endpoint: "cold"},
-		"a cold one that was counted":             {endpoint: "cold", grant: grant, after: held + pace.SendWithin, prefill: true, decode: true},
-		"one that was counted long ago":           {endpoint: "cold", grant: grant, after: held + pace.SendWithin + 1},
-		"after its prefill":                       {endpoint: "cold", grant: grant, after: held + time.Second, told: pace.SendWithin, decode: true},
-		"long after its prefill":                  {endpoint: "cold", grant: grant, after: held + time.Second, told: pace.SendWithin + 1},
-		"after a prefill that took long":          {endpoint: "cold", grant: grant, after: held + pace.OpenFor + 1, told: 1},
-		"one that only its home takes for cold":   {endpoint: "warm", grant: grant, after: held + pace.SendWithin + 1},
+		"warm endpoint": {endpoint: "warm", prefill: true, decode: true},
+		"cold endpoint that its home considers warm": {endpoint: "cold"},
+		"cold endpoint, counted":                     {endpoint: "cold", grant: grant, after: held + pace.SendWithin, prefill: true, decode: true},
+		"cold endpoint, counted too long ago":        {endpoint: "cold", grant: grant, after: held + pace.SendWithin + 1},
+		"after the prefill":                          {endpoint: "cold", grant: grant, after: held + time.Second, told: pace.SendWithin, decode: true},
+		"too long after the prefill":                 {endpoint: "cold", grant: grant, after: held + time.Second, told: pace.SendWithin + 1},
+		"after a prefill that took too long":         {endpoint: "cold", grant: grant, after: held + pace.OpenFor + 1, told: 1},
+		"warm endpoint that its home considers cold": {endpoint: "warm", grant: grant, after: held + pace.SendWithin + 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := asked.Add(c.after)
-			v := coldRun(someBound, now)
-			v.counted = countedBy(c.grant, asked)
+			h := coldHandler(someBound, now)
+			h.counted = countedBy(c.grant, asked)
 			if c.told > 0 {
-				v.counted.Prefilled = now.Add(-c.told)
+				h.counted.Prefilled = now.Add(-c.told)
 			}
-			if got := v.mayPrefill(c.endpoint); got != c.prefill {
+			if got := h.mayPrefill(c.endpoint); got != c.prefill {
 				t.Errorf("may prefill: %v, want %v", got, c.prefill)
 			}
-			if got := v.mayDecode(c.endpoint); got != c.decode {
+			if got := h.mayDecode(c.endpoint); got != c.decode {
 				t.Errorf("may decode: %v, want %v", got, c.decode)
 			}
 		})
 	}
 }
 
-// TestSendsToLimitedEndpoints holds that an endpoint which names a limit gets only what a home
-// has counted, and nothing from a box that places alone.
+// TestSendsToLimitedEndpoints checks that an endpoint which announces a limit gets only what a
+// home has counted for it, and nothing from a box that places requests without a home.
 func TestSendsToLimitedEndpoints(t *testing.T) {
 	now := time.Now()
 	cases := map[string]struct {
@@ -112,61 +113,64 @@
 		after time.Duration
 		sent  bool
 	}{
-		"counted":                       {grant: schedule.Grant{PacedPrefill: true, PacedDecode: true}, sent: true},
-		"counted long ago":              {grant: schedule.Grant{PacedPrefill: true, PacedDecode: true}, after: pace.SendWithin + 1},
-		"by a home that does not count": {},
+		"counted":              {grant: schedule.Grant{PacedPrefill: true, PacedDecode: true}, sent: true},
+		"counted too long ago": {grant: schedule.Grant{PacedPrefill: true, PacedDecode: true}, after: pace.SendWithin + 1},
+		"home does not count":  {},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			v := coldRun(pace.Bound{}, now.Add(c.after))
-			v.r.cfg.Notices = notice.New(notice.Config{Log: log.Discard()})
-			v.r.cfg.Notices.Answered(notice.Answered{Endpoint: "warm", Notice: pace.Notice{Limit: pace.LimitOf(1)}})
-			v.counted = countedBy(c.grant, now)
-			if v.mayPrefill("warm") != c.sent || v.mayDecode("warm") != c.sent {
-				t.Errorf("may prefill %v, decode %v, want %v", v.mayPrefill("warm"), v.mayDecode("warm"), c.sent)
+			h := coldHandler(pace.Bound{}, now.Add(c.after))
+			h.relay.cfg.Notices = notice.New(notice.Config{Log: log.Discard()})
+			h.relay.cfg.Notices.Answered(notice.Answered{Endpoint: "warm", Notice: pace.Notice{Limit: pace.LimitOf(1)}})
+			h.counted = countedBy(c.grant, now)
+			if h.mayPrefill("warm") != c.sent || h.mayDecode("warm") != c.sent {
+				t.Errorf("may prefill %v, decode %v, want %v", h.mayPrefill("warm"), h.mayDecode("warm"), c.sent)
 			}
-			v.counted = pace.Counted{}
-			if !v.mayPrefill("cold") || !v.mayDecode("cold") {
-				t.Error("an endpoint that names no limit gets nothing")
+			h.counted = pace.Counted{}
+			if !h.mayPrefill("cold") || !h.mayDecode("cold") {
+				t.Error("an endpoint without a limit gets nothing")
 			}
 			for n := range uint64(8) {
-				v.id.Sequence = n
-				if got, withheld := v.placeAlone(); got.Decode != "cold" || withheld != "" {
-					t.Errorf("placed alone at %q, withheld %q", got.Decode, withheld)
+				h.id.Sequence = n
+				if got, withheld := h.placeWithoutHome(); got.Decode != "cold" || withheld != "" {
+					t.Errorf("placed without a home at %q, withheld %q", got.Decode, withheld)
 				}
 			}
 		})
 	}
 }
 
-// TestNowhereToGoIsRefusedAtOnce has no home speak while the only endpoint may get nothing by
-// its own word: the caller was held for as long as its request was asked for, eight times.
+// TestNowhereToGoIsRefusedAtOnce guards against delaying the caller when no home answers and
+// the only endpoint accepts nothing according to its notice: such a request was refused only
+// after eight rounds of asks.
 func TestNowhereToGoIsRefusedAtOnce(t *testing.T) {
 	cases := map[string]struct {
-		said pace.Notice
-		// retry is what the caller is told, and asked is the number of homes that are asked.
+		reported pace.Notice
+		// retry is the retry delay of the refusal, and asked the number of homes that are
+		// asked.
 		retry time.Duration
 		asked time.Duration
 	}{
-		"names a limit": {said: pace.Notice{Limit: pace.LimitOf(1)}, retry: silentHomeRetry, asked: silentHomes},
-		"leaves":        {said: pace.Notice{Leaving: true}, retry: notReadyRetry},
-		"rests":         {said: pace.Notice{Rest: 1500 * time.Millisecond}, retry: 1500 * time.Millisecond},
+		"announces a limit": {reported: pace.Notice{Limit: pace.LimitOf(1)}, retry: silentHomeRetry, asked: maxSilentHomes},
+		"leaves":            {reported: pace.Notice{Leaving: true}, retry: notReadyRetry},
+		"rests":             {reported: pace.Notice{Rest: 1500 * time.Millisecond}, retry: 1500 * time.Millisecond},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { refusedAtOnce(t, c.said, c.retry, c.asked*firstWord) })
+		t.Run(name, func(t *testing.T) { refusedAtOnce(t, c.reported, c.retry, c.asked*homeTimeout) })
 	}
 }
 
-// refusedAtOnce has the only endpoint say something, and a request refused within a time.
-func refusedAtOnce(t *testing.T, said pace.Notice, retry, within time.Duration) {
+// refusedAtOnce checks that a request is refused within the given time when its only endpoint
+// has sent a notice.
+func refusedAtOnce(t *testing.T, reported pace.Notice, retry, within time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		ends, caller := &counted{}, &told{}
+		endpoints, caller := &countingEndpoints{}, &recordingCaller{}
 		d := directory.Directory{}.WithList(time.Now(), 1, []directory.Entry{{ID: "e-n1", Service: "s", Zone: "n1"}})
 		r := New(Config{
-			Zone: "n1", Homes: &granting{places: allOne}, Directory: &known{d}, Endpoints: ends, Log: log.Discard(),
+			Zone: "n1", Homes: &grantingHomes{groupsWithoutHomes: allOne}, Directory: &staticDirectory{d}, Endpoints: endpoints, Log: log.Discard(),
 			Notices: notice.New(notice.Config{Log: log.Discard()}), NextID: func() lifecycle.RequestID { return lifecycle.RequestID{} },
 		})
-		r.cfg.Notices.Answered(notice.Answered{Endpoint: "e-n1", Notice: said})
+		r.cfg.Notices.Answered(notice.Answered{Endpoint: "e-n1", Notice: reported})
 		r.SetTable(table.Table{
 			Generation: 1, Services: []table.Service{{Name: "s", Kind: table.KindRouted}},
 			Routes: []table.Route{{
@@ -176,11 +180,11 @@
 		})
 		arrived := time.Now()
 		r.Serve(t.Context(), Request{ID: "1", Host: "h", Path: "/a/x", Target: "/a/x", Method: http.MethodPost, Arrived: arrived}, caller)
-		if ends.sends > 0 || caller.refusal.Status != http.StatusServiceUnavailable || caller.refusal.RetryAfter != retry {
-			t.Errorf("sent %d times, told %+v", ends.sends, caller.refusal)
+		if endpoints.sends > 0 || caller.refusal.Status != http.StatusServiceUnavailable || caller.refusal.RetryAfter != retry {
+			t.Errorf("sent %d times, refused with %+v", endpoints.sends, caller.refusal)
 		}
 		if held := time.Since(arrived); held > within {
-			t.Errorf("held for %v, want no longer than %v", held, within)
+			t.Errorf("delayed for %v, want at most %v", held, within)
 		}
 	})
 }
--- a/coordination/relay/partial.go
+++ b/coordination/relay/partial.go
@@ -5,36 +5,36 @@
 
 import "runridge.example/runridge/coordination/held"
 
-// partial is what has come of a stream and was not passed on: part of an event.
-type partial struct {
+// partialEvent holds the data of a stream that has been received but not sent to the caller.
+type partialEvent struct {
 	hold *held.Hold
 	data []byte
-	// taken is the room taken for it, in bytes.
-	taken int
+	// reserved is the size reserved for data from hold, in bytes.
+	reserved int
 }
 
-// freeRoom is what a stream may keep of an event without room taken for it, in bytes: every
-// stream reads so much at once.
-const freeRoom = 2 * pieceSize
+// unreservedBytes is how much a stream may buffer without a reservation, in bytes: every stream
+// reads pieces of pieceSize anyway.
+const unreservedBytes = 2 * pieceSize
 
-// add keeps what has come; false is that there is no room for it.
-func (p *partial) add(more []byte) bool {
-	need := len(p.data) + len(more) - freeRoom - p.taken
+// add appends data and reports whether there was memory for it.
+func (p *partialEvent) add(more []byte) bool {
+	need := len(p.data) + len(more) - unreservedBytes - p.reserved
 	if need > 0 && !p.hold.Take(need) {
 		return false
 	}
-	p.taken += max(need, 0)
+	p.reserved += max(need, 0)
 	p.data = append(p.data, more...)
 	return true
 }
 
-// drop lets go of what was passed on.
-func (p *partial) drop(n int) {
+// consume removes the first n bytes and gives back the reservation if the rest is small.
+func (p *partialEvent) consume(n int) {
 	p.data = append(p.data[:0], p.data[n:]...)
-	if p.taken == 0 || len(p.data) > freeRoom {
+	if p.reserved == 0 || len(p.data) > unreservedBytes {
 		return
 	}
-	p.hold.Give(p.taken)
-	p.taken = 0
+	p.hold.Give(p.reserved)
+	p.reserved = 0
 	p.data = append([]byte(nil), p.data...)
 }
--- a/coordination/relay/poison.go
+++ b/coordination/relay/poison.go
@@ -11,25 +11,24 @@
 	"runridge.example/runridge/state/poison"
 )
 
-// A request that ends the endpoints that run it comes again under a new id, at any box.
-// What a run remembers is gone with it, so each path to an endpoint asks the quarantine,
-// which knows requests by their fingerprints and what they did at other boxes: with
-// max_attempts and the retry budget alone 12 tries of one request ended 24 endpoints
-// (TestPoisonRequest).
+// Callers retry a poison request under a new ID at any box, after the state of its previous
+// handler is gone. So each path to an endpoint asks the quarantine, which identifies requests
+// by fingerprint and learns from other boxes what they did. With max_attempts and the retry
+// budget alone, 12 tries of one request ended 24 endpoints (TestPoisonRequest).
 
-// reasonPoison is why a request reaches no endpoint that ended others.
+// reasonPoison is the reason for refusing a request that ended endpoints before.
 const reasonPoison = string(lifecycle.ReasonPoison)
 
-// suspect is the request as the quarantine sees it.
-func (v *run) suspect() *quarantine.Request {
-	if v.quarantined == nil {
-		v.quarantined = v.r.cfg.Quarantine.Request(v.q.ID, v.service.Name, poison.Request{
-			Method: v.q.Method, Host: v.q.Host, Target: v.q.Target, Account: v.accountName(), Body: v.q.Body,
+// suspect returns the request as the quarantine tracks it.
+func (h *handler) suspect() *quarantine.Request {
+	if h.quarantined == nil {
+		h.quarantined = h.relay.cfg.Quarantine.Request(h.request.ID, h.service.Name, poison.Request{
+			Method: h.request.Method, Host: h.request.Host, Target: h.request.Target, Account: h.accountName(), Body: h.request.Body,
 		})
 	}
-	return v.quarantined
+	return h.quarantined
 }
 
-// refusePoison refuses the request, which has not run, for as long as it will be
-// remembered.
-func (v *run) refusePoison() { v.refuse(http.StatusServiceUnavailable, reasonPoison, poison.Keep) }
+// refusePoison refuses the request, which has not run, with a retry delay as long as the
+// quarantine remembers it.
+func (h *handler) refusePoison() { h.refuse(http.StatusServiceUnavailable, reasonPoison, poison.Keep) }
--- a/coordination/relay/poison_test.go
+++ b/coordination/relay/poison_test.go
@@ -22,15 +22,15 @@
 	"runridge.example/runridge/state/table"
 )
 
-// counted are endpoints that answer nothing; each send is counted, and tells.
-type counted struct {
+// countingEndpoints break off every exchange, count the sends and call onSend for each.
+type countingEndpoints struct {
 	sends  int
 	onSend func()
 }
 
 var errBroken = errors.New("the exchange broke off")
 
-func (c *counted) Send(context.Context, Call) (*Answer, error) {
+func (c *countingEndpoints) Send(context.Context, Call) (*Answer, error) {
 	c.sends++
 	if c.onSend != nil {
 		c.onSend()
@@ -38,29 +38,29 @@
 	return nil, errBroken
 }
 
-func (c *counted) Free(context.Context, Endpoint, string) error { return nil }
+func (c *countingEndpoints) Free(context.Context, Endpoint, string) error { return nil }
 
-// told is a caller that keeps what it was refused with.
-type told struct{ refusal Refusal }
+// recordingCaller is a caller that keeps the refusal it receives.
+type recordingCaller struct{ refusal Refusal }
 
-func (*told) Head(int, []Field, int64) error { return nil }
-func (*told) Write([]byte) error             { return nil }
-func (*told) End() error                     { return nil }
-func (*told) Break()                         {}
-func (t *told) Refuse(r Refusal)             { t.refusal = r }
+func (*recordingCaller) Head(int, []Field, int64) error { return nil }
+func (*recordingCaller) Write([]byte) error             { return nil }
+func (*recordingCaller) End() error                     { return nil }
+func (*recordingCaller) Break()                         {}
+func (c *recordingCaller) Refuse(r Refusal)             { c.refusal = r }
 
-// granting is the home of all groups. It grants each ask its plan after it has told, or says
-// nothing without one.
-type granting struct {
-	places
+// grantingHomes is the home of all groups. It calls onAsk for each ask and grants its plan;
+// without a plan it does not answer.
+type grantingHomes struct {
+	groupsWithoutHomes
 	r     *Relay
 	plan  lifecycle.Plan
 	onAsk func()
 }
 
-func (g *granting) HomesOf(string) []string { return []string{"home"} }
+func (g *grantingHomes) HomesOf(string) []string { return []string{"home"} }
 
-func (g *granting) Tell(box, group string, body home.Body) ring.Outcome {
+func (g *grantingHomes) Tell(box, group string, body home.Body) ring.Outcome {
 	a, asks := body.(schedule.Ask)
 	if !asks {
 		return ring.Accepted
@@ -74,29 +74,29 @@
 	return ring.Accepted
 }
 
-// TestPoisonReachesNoEndpoint has the box learn that a request ends its endpoints at different
-// moments of its way, on each way to an endpoint.
+// TestPoisonReachesNoEndpoint checks that a poison request is not sent to an endpoint, whenever
+// the box learns of it and whichever way the request takes.
 func TestPoisonReachesNoEndpoint(t *testing.T) {
 	decode := lifecycle.Plan{Mode: lifecycle.Recompute, Decode: "e-n1"}
 	prefill := lifecycle.Plan{Mode: lifecycle.Move, Prefill: "e-n2", Decode: "e-n1"}
 	cases := map[string]struct {
 		plan lifecycle.Plan
-		// resumes is the event after which the request goes on.
+		// resumes is the ID of the event after which the request resumes.
 		resumes string
-		// when the box learns of it.
+		// before, asked and sent select when the box learns that the request is poison.
 		before, asked, sent bool
 		sends, status       int
 	}{
-		"before it came":              {plan: decode, before: true, status: http.StatusServiceUnavailable},
-		"before it was resumed":       {plan: decode, before: true, resumes: "12", status: http.StatusServiceUnavailable},
-		"while it waits for a home":   {plan: decode, asked: true, status: http.StatusServiceUnavailable},
-		"before its prompt is read":   {plan: prefill, asked: true, status: http.StatusServiceUnavailable},
-		"while no home speaks":        {asked: true, status: http.StatusServiceUnavailable},
-		"between a run and a repeat":  {plan: decode, sent: true, sends: 1, status: http.StatusBadGateway},
-		"between two reads of it":     {plan: prefill, sent: true, sends: 1, status: http.StatusServiceUnavailable},
-		"never, and it may be sent":   {plan: decode, sends: 2, status: http.StatusBadGateway},
-		"never, and no home speaks":   {sends: 2, status: http.StatusBadGateway},
-		"never, and its prompt again": {plan: prefill, sends: 2 * maxSends, status: http.StatusServiceUnavailable},
+		"before it arrives":                 {plan: decode, before: true, status: http.StatusServiceUnavailable},
+		"before it is resumed":              {plan: decode, before: true, resumes: "12", status: http.StatusServiceUnavailable},
+		"while it waits for a home":         {plan: decode, asked: true, status: http.StatusServiceUnavailable},
+		"before its prefill":                {plan: prefill, asked: true, status: http.StatusServiceUnavailable},
+		"while no home answers":             {asked: true, status: http.StatusServiceUnavailable},
+		"between a run and its retry":       {plan: decode, sent: true, sends: 1, status: http.StatusBadGateway},
+		"between two prefills":              {plan: prefill, sent: true, sends: 1, status: http.StatusServiceUnavailable},
+		"never":                             {plan: decode, sends: 2, status: http.StatusBadGateway},
+		"never, and no home answers":        {sends: 2, status: http.StatusBadGateway},
+		"never, and the prefill is retried": {plan: prefill, sends: 2 * maxSends, status: http.StatusServiceUnavailable},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -113,10 +113,10 @@
 					}
 					k.Receive("other", poison.Update{Suspects: []poison.Suspect{s}})
 				}
-				ends, caller := &counted{}, &told{}
-				homes := &granting{places: allOne, plan: c.plan}
+				endpoints, caller := &countingEndpoints{}, &recordingCaller{}
+				homes := &grantingHomes{groupsWithoutHomes: allOne, plan: c.plan}
 				d := directory.Directory{}.WithList(time.Now(), 1, []directory.Entry{{ID: "e-n1", Service: "s", Zone: "n1"}, {ID: "e-n2", Service: "s", Zone: "n1"}})
-				r := New(Config{Zone: "n1", Homes: homes, Directory: &known{d}, Endpoints: ends, Quarantine: k, Log: log.Discard(), NextID: func() lifecycle.RequestID { return lifecycle.RequestID{} }})
+				r := New(Config{Zone: "n1", Homes: homes, Directory: &staticDirectory{d}, Endpoints: endpoints, Quarantine: k, Log: log.Discard(), NextID: func() lifecycle.RequestID { return lifecycle.RequestID{} }})
 				r.cfg.Budget.Slack = 1e6
 				homes.r = r
 				r.SetTable(table.Table{
@@ -131,7 +131,7 @@
 					homes.onAsk = learn
 				}
 				if c.sent {
-					ends.onSend = learn
+					endpoints.onSend = learn
 				}
 				// The retry budget grows over the first window.
 				time.Sleep(time.Minute)
@@ -140,14 +140,14 @@
 					learn()
 				}
 				r.Serve(t.Context(), q, caller)
-				if ends.sends != c.sends || caller.refusal.Status != c.status {
-					t.Errorf("sent %d times, told %d, want %d and %d", ends.sends, caller.refusal.Status, c.sends, c.status)
+				if endpoints.sends != c.sends || caller.refusal.Status != c.status {
+					t.Errorf("sent %d times, refused with status %d, want %d and %d", endpoints.sends, caller.refusal.Status, c.sends, c.status)
 				}
 				if poisoned := caller.refusal.Reason == reasonPoison; poisoned != (c.before || c.asked || c.sent) {
-					t.Errorf("refused for %s", caller.refusal.Reason)
+					t.Errorf("refused with reason %s", caller.refusal.Reason)
 				}
 				if c.status == http.StatusServiceUnavailable && c.sends == 0 && caller.refusal.RetryAfter != poison.Keep {
-					t.Errorf("to come again after %v", caller.refusal.RetryAfter)
+					t.Errorf("retry delay %v", caller.refusal.RetryAfter)
 				}
 			})
 		})
--- a/coordination/relay/question.go
+++ b/coordination/relay/question.go
@@ -13,157 +13,157 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// decided is a home's decision on its way to the run.
-type decided struct {
+// homeDecision is a decision that a home sent for an attempt.
+type homeDecision struct {
 	from     string
 	id       lifecycle.AttemptID
 	decision schedule.Decision
 }
 
-// Times of the questions to homes.
+// Timeouts and limits of asks.
 const (
-	// firstWord is how long a home may be silent before the next is asked.
-	firstWord = 80 * time.Millisecond
-	// askAgain is how long a queued ask waits before it is asked again.
-	askAgain = 300 * time.Millisecond
-	// movedPause lets boxes hear of a new home.
-	movedPause = 10 * time.Millisecond
-	// fullPause is the wait after a question that could not be sent.
-	fullPause = 10 * time.Millisecond
-	// silentHomes is how many homes may be silent before the box places the
-	// request by itself.
-	silentHomes = 3
+	// homeTimeout is how long a home may be silent before the next one is asked.
+	homeTimeout = 80 * time.Millisecond
+	// queuedRetry is the interval after which a queued ask is sent again.
+	queuedRetry = 300 * time.Millisecond
+	// homeMovedDelay gives the boxes time to learn of a new home.
+	homeMovedDelay = 10 * time.Millisecond
+	// queueFullDelay is the delay after an ask that did not fit into the send queue.
+	queueFullDelay = 10 * time.Millisecond
+	// maxSilentHomes is how many homes may be silent before the box places the request itself.
+	maxSilentHomes = 3
 )
 
-// verdict is what came of a question.
-type verdict struct {
+// askOutcome is the outcome of an ask.
+type askOutcome struct {
 	grant schedule.Grant
-	// asked is when the home that granted was first asked.
-	asked time.Time
-	// refused says that the home refused; alone that no home spoke in time.
+	// askedAt is when the home that sent the grant was first asked.
+	askedAt time.Time
+	// refused reports that the home refused, and noHome that no home answered in time.
 	refused    bool
-	alone      bool
+	noHome     bool
 	reason     lifecycle.Reason
 	retryAfter time.Duration
 }
 
-// ask puts the question for the next attempt to the home of the group and
-// waits for its word.
-func (v *run) ask(ctx context.Context, a schedule.Ask) verdict {
-	v.drainDecisions()
+// ask sends the ask to the home of the group and waits for its decision. It asks the next box
+// in rank when a home is silent and the new home when the group has moved.
+func (h *handler) ask(ctx context.Context, a schedule.Ask) askOutcome {
+	h.drainDecisions()
 	rank, silent := 0, 0
 	asked := askTimes{}
-	timer := time.NewTimer(v.sendAsk(a, rank, asked))
+	timer := time.NewTimer(h.sendAsk(a, rank, asked))
 	defer timer.Stop()
 	queued := false
 	for {
 		select {
 		case <-ctx.Done():
-			v.tell(home.Withdrawn{ID: a.ID})
-			return verdict{refused: true, reason: lifecycle.ReasonHopeless}
-		case d := <-v.decisions:
+			h.notifyHome(home.Withdrawn{ID: a.ID})
+			return askOutcome{refused: true, reason: lifecycle.ReasonHopeless}
+		case d := <-h.decisions:
 			if d.id != a.ID {
-				v.giveBack(d)
+				h.returnGrant(d)
 				continue
 			}
 			switch dec := d.decision.(type) {
 			case schedule.Grant:
-				v.setHome(d.from)
-				return verdict{grant: dec, asked: asked[d.from]}
+				h.setHome(d.from)
+				return askOutcome{grant: dec, askedAt: asked[d.from]}
 			case schedule.Refuse:
 				if dec.Reason == lifecycle.ReasonMoved {
-					timer.Reset(movedPause)
+					timer.Reset(homeMovedDelay)
 					continue
 				}
-				return verdict{refused: true, reason: dec.Reason, retryAfter: dec.RetryAfter}
+				return askOutcome{refused: true, reason: dec.Reason, retryAfter: dec.RetryAfter}
 			case schedule.Queued:
 				queued = true
-				timer.Reset(askAgain)
+				timer.Reset(queuedRetry)
 			}
-		case <-v.moved:
-			// The group has another home now.
-			v.tell(home.Withdrawn{ID: a.ID})
+		case <-h.homeMoved:
+			// The group has a new home.
+			h.notifyHome(home.Withdrawn{ID: a.ID})
 			rank, queued = 0, false
-			timer.Reset(v.sendAsk(a, rank, asked))
+			timer.Reset(h.sendAsk(a, rank, asked))
 		case <-timer.C:
 			if !queued {
-				v.tell(home.Withdrawn{ID: a.ID})
+				h.notifyHome(home.Withdrawn{ID: a.ID})
 				rank++
 				silent++
 			}
-			if silent >= silentHomes {
-				return verdict{alone: true}
+			if silent >= maxSilentHomes {
+				return askOutcome{noHome: true}
 			}
 			queued = false
-			timer.Reset(v.sendAsk(a, rank, asked))
+			timer.Reset(h.sendAsk(a, rank, asked))
 		}
 	}
 }
 
-// drainDecisions drops what came too late for an earlier question.
-func (v *run) drainDecisions() {
+// drainDecisions discards late decisions on earlier asks and returns their grants.
+func (h *handler) drainDecisions() {
 	for {
 		select {
-		case d := <-v.decisions:
-			v.giveBack(d)
+		case d := <-h.decisions:
+			h.returnGrant(d)
 		default:
 			return
 		}
 	}
 }
 
-// giveBack returns a grant that nobody waits for any more.
-func (v *run) giveBack(d decided) {
+// returnGrant withdraws a granted attempt that is no longer wanted.
+func (h *handler) returnGrant(d homeDecision) {
 	if _, granted := d.decision.(schedule.Grant); granted {
-		_ = v.r.cfg.Homes.Tell(d.from, v.group, home.Withdrawn{ID: d.id})
+		_ = h.relay.cfg.Homes.Tell(d.from, h.group, home.Withdrawn{ID: d.id})
 	}
 }
 
-// askTimes is when each box was first asked the same question. One that answers a
-// repeat of it counts from the first.
+// askTimes maps each box to the time when it was first asked the same question. For a box that
+// answers a repeated ask, the first one counts.
 type askTimes map[string]time.Time
 
-// sendAsk asks the box at a rank and returns how long to wait for its word.
-func (v *run) sendAsk(a schedule.Ask, rank int, asked askTimes) time.Duration {
-	boxes := v.r.cfg.Homes.HomesOf(v.group)
-	patience := firstWord + v.travel(v.group)
+// sendAsk asks the box at the given rank and returns how long to wait for its decision.
+func (h *handler) sendAsk(a schedule.Ask, rank int, asked askTimes) time.Duration {
+	boxes := h.relay.cfg.Homes.HomesOf(h.group)
+	timeout := homeTimeout + h.roundTrip(h.group)
 	if len(boxes) == 0 {
-		return patience
+		return timeout
 	}
 	box := boxes[rank%len(boxes)]
-	v.setHome(box)
+	h.setHome(box)
 	if _, again := asked[box]; !again {
-		asked[box] = v.r.cfg.Now()
+		asked[box] = h.relay.cfg.Now()
 	}
-	a.Waited = v.age + v.r.cfg.Now().Sub(v.q.Arrived)
-	if v.r.cfg.Homes.Tell(box, v.group, a) == ring.Full {
-		return fullPause
+	a.Waited = h.age + h.relay.cfg.Now().Sub(h.request.Arrived)
+	if h.relay.cfg.Homes.Tell(box, h.group, a) == ring.Full {
+		return queueFullDelay
 	}
-	return patience
+	return timeout
 }
 
-// unknownTravel stands in for a round trip between regions that was not measured
-// yet: that of regions some thousand kilometres apart.
-const unknownTravel = 40 * time.Millisecond
+// defaultRoundTrip is used until the round trip to a region has been measured; it fits regions
+// some thousand kilometers apart.
+const defaultRoundTrip = 40 * time.Millisecond
 
-// travel is how long a message to a group's home in another region and its answer
-// take; 0 within a region.
-func (v *run) travel(key string) time.Duration {
-	p, known := v.place(key)
-	if !known || p.Region == v.r.origin().Region {
+// roundTrip returns the round trip time to a group's home in another region; 0 within the
+// region.
+func (h *handler) roundTrip(key string) time.Duration {
+	p, known := h.place(key)
+	if !known || p.Region == h.relay.origin().Region {
 		return 0
 	}
-	if v.r.cfg.RoundTrip != nil {
-		if found := v.r.cfg.RoundTrip(p.Region); found > 0 {
+	if h.relay.cfg.RoundTrip != nil {
+		if found := h.relay.cfg.RoundTrip(p.Region); found > 0 {
 			return found
 		}
 	}
-	return unknownTravel
+	return defaultRoundTrip
 }
 
-// awaitSlot waits for the decode engine of a grant that left it open.
-func (v *run) awaitSlot(ctx context.Context, id lifecycle.AttemptID, patience time.Duration) (string, bool) {
-	timer := time.NewTimer(patience)
+// awaitSlot waits for the decode engine of a grant that left it open. It returns false if none
+// is assigned before the timeout.
+func (h *handler) awaitSlot(ctx context.Context, id lifecycle.AttemptID, timeout time.Duration) (string, bool) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -171,7 +171,7 @@
 			return "", false
 		case <-timer.C:
 			return "", false
-		case d := <-v.decisions:
+		case d := <-h.decisions:
 			if slot, ok := d.decision.(schedule.Slot); ok && d.id == id {
 				return slot.Decode, true
 			}
@@ -179,76 +179,75 @@
 	}
 }
 
-func (v *run) setGroup(group string) {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
-	v.group = group
+func (h *handler) setGroup(group string) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.group = group
 }
 
-func (v *run) setHome(box string) {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
-	v.home = box
+func (h *handler) setHome(box string) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.home = box
 }
 
-// tell sends a word to the home of the attempt. One that is lost is made good
-// by the home's own questions about old grants.
-func (v *run) tell(body home.Body) {
-	v.mutex.Lock()
-	box := v.home
-	v.mutex.Unlock()
+// notifyHome sends a message to the home of the attempt. A lost message does no harm, because
+// homes check old grants themselves.
+func (h *handler) notifyHome(body home.Body) {
+	h.mutex.Lock()
+	box := h.home
+	h.mutex.Unlock()
 	if box != "" {
-		_ = v.r.cfg.Homes.Tell(box, v.group, body)
+		_ = h.relay.cfg.Homes.Tell(box, h.group, body)
 	}
 }
 
-// rehome goes over to the group's new home, if it has one: an attempt that
-// runs is told there.
-func (v *run) rehome() {
-	v.mutex.Lock()
-	group := v.group
-	v.mutex.Unlock()
+// rehome moves the request to the new home of its group, if it has changed: an attempt in
+// flight is announced there, a pending ask is sent again.
+func (h *handler) rehome() {
+	h.mutex.Lock()
+	group := h.group
+	h.mutex.Unlock()
 	if group == "" {
 		return
 	}
-	boxes := v.r.cfg.Homes.HomesOf(group)
-	v.mutex.Lock()
-	// The run may have gone on to another group meanwhile, whose home it has just
-	// looked up.
-	if len(boxes) == 0 || boxes[0] == v.home || v.group != group {
-		v.mutex.Unlock()
+	boxes := h.relay.cfg.Homes.HomesOf(group)
+	h.mutex.Lock()
+	// The request may have moved on to another group meanwhile and looked up that group's home.
+	if len(boxes) == 0 || boxes[0] == h.home || h.group != group {
+		h.mutex.Unlock()
 		return
 	}
-	running := v.running
-	adopted := v.adopted
-	old := v.home
+	running := h.running
+	adopted := h.adopted
+	old := h.home
 	if running {
-		v.home = boxes[0]
+		h.home = boxes[0]
 	}
-	v.mutex.Unlock()
+	h.mutex.Unlock()
 	if !running {
 		select {
-		case v.moved <- struct{}{}:
+		case h.homeMoved <- struct{}{}:
 		default:
 		}
 		return
 	}
-	_ = v.r.cfg.Homes.Tell(old, group, home.Withdrawn{ID: adopted.Ask.ID})
-	_ = v.r.cfg.Homes.Tell(boxes[0], group, adopted)
-	time.AfterFunc(adoptAgain, func() { v.adoptAgain(boxes[0], adopted) })
+	_ = h.relay.cfg.Homes.Tell(old, group, home.Withdrawn{ID: adopted.Ask.ID})
+	_ = h.relay.cfg.Homes.Tell(boxes[0], group, adopted)
+	time.AfterFunc(readoptDelay, func() { h.repeatAdopted(boxes[0], adopted) })
 }
 
-// adoptAgain is when a new home is told of an attempt once more: it may not
-// have known the group or the engine yet, or the word was lost.
-const adoptAgain = 500 * time.Millisecond
+// readoptDelay is when an attempt is announced to a new home a second time: the first message
+// may have been lost, or the home did not know the group or engine yet.
+const readoptDelay = 500 * time.Millisecond
 
-// adoptAgain repeats the word on an attempt that still runs under a home.
-func (v *run) adoptAgain(box string, told schedule.Adopted) {
-	v.mutex.Lock()
-	same := v.running && v.home == box && v.adopted.Ask.ID == told.Ask.ID
-	now, group := v.adopted, v.group
-	v.mutex.Unlock()
+// repeatAdopted announces an attempt again if it is still in flight under the same home.
+func (h *handler) repeatAdopted(box string, told schedule.Adopted) {
+	h.mutex.Lock()
+	same := h.running && h.home == box && h.adopted.Ask.ID == told.Ask.ID
+	now, group := h.adopted, h.group
+	h.mutex.Unlock()
 	if same {
-		_ = v.r.cfg.Homes.Tell(box, group, now)
+		_ = h.relay.cfg.Homes.Tell(box, group, now)
 	}
 }
--- a/coordination/relay/record.go
+++ b/coordination/relay/record.go
@@ -13,111 +13,111 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// ended counts a request that ends and writes its line.
-func (v *run) ended(outcome, reason string) {
-	v.measure(outcome, reason)
+// recordEnd logs and counts the end of the request.
+func (h *handler) recordEnd(outcome, reason string) {
+	h.recordMetrics(outcome, reason)
 	fields := log.Fields{
-		log.FieldRequest: v.q.ID,
+		log.FieldRequest: h.request.ID,
 		"outcome":        outcome,
 		log.FieldReason:  reason,
-		"route":          v.route.Name,
-		"service":        v.service.Name,
-		"sends":          v.sends,
-		"prefills":       v.prefills,
-		"runs":           v.runs,
-		"ms":             v.r.cfg.Now().Sub(v.q.Arrived).Milliseconds(),
+		"route":          h.route.Name,
+		"service":        h.service.Name,
+		"sends":          h.sends,
+		"prefills":       h.prefills,
+		"runs":           h.runs,
+		"ms":             h.relay.cfg.Now().Sub(h.request.Arrived).Milliseconds(),
 	}
-	if v.account != nil {
-		fields["account"] = v.account.Name
-		fields["charged"] = v.charged
+	if h.account != nil {
+		fields["account"] = h.account.Name
+		fields["charged"] = h.charged
 	}
-	if v.q.Prompt.Tokens > 0 {
-		fields["prompt_tokens"] = v.q.Prompt.Tokens
-		fields["output_tokens"] = v.q.Prompt.Output
-		fields["output_hint"] = v.q.Prompt.Hint
-		fields["last_event"] = v.lastEvent
-		fields["gap_ms"] = v.longestGap.Milliseconds()
-		fields["gap_target_ms"] = v.route.GapMS
-		fields["prefill"], fields["decode"] = v.plan.Prefill, v.plan.Decode
-		fields["alone"] = v.alone
-		fields["age_ms"] = v.age.Milliseconds()
-		fields["late"] = v.late
+	if h.request.Prompt.Tokens > 0 {
+		fields["prompt_tokens"] = h.request.Prompt.Tokens
+		fields["output_tokens"] = h.request.Prompt.Output
+		fields["output_hint"] = h.request.Prompt.Hint
+		fields["last_event"] = h.lastEvent
+		fields["gap_ms"] = h.longestGap.Milliseconds()
+		fields["gap_target_ms"] = h.route.GapMS
+		fields["prefill"], fields["decode"] = h.plan.Prefill, h.plan.Decode
+		fields["alone"] = h.selfPlaced
+		fields["age_ms"] = h.age.Milliseconds()
+		fields["late"] = h.late
 	}
-	if !v.firstAt.IsZero() {
-		fields["first_ms"] = v.firstAt.Sub(v.q.Arrived).Milliseconds()
-		fields["target_ms"] = v.route.TargetMS
+	if !h.firstByteAt.IsZero() {
+		fields["first_ms"] = h.firstByteAt.Sub(h.request.Arrived).Milliseconds()
+		fields["target_ms"] = h.route.TargetMS
 	}
-	v.r.cfg.Log.WithFields(fields).Info("request_ended")
+	h.relay.cfg.Log.WithFields(fields).Info("request_ended")
 }
 
-// measure counts the request that ends.
-func (v *run) measure(outcome, reason string) {
-	if v.r.cfg.Metrics == nil {
+// recordMetrics counts the end of the request.
+func (h *handler) recordMetrics(outcome, reason string) {
+	if h.relay.cfg.Metrics == nil {
 		return
 	}
-	e := metric.Ended{Service: v.service.Name, Outcome: outcome, Reason: reason, Attempts: int(v.attempt)}
-	if !v.firstAt.IsZero() {
-		e.FirstToken = v.firstAt.Sub(v.q.Arrived)
+	e := metric.Ended{Service: h.service.Name, Outcome: outcome, Reason: reason, Attempts: int(h.attempt)}
+	if !h.firstByteAt.IsZero() {
+		e.FirstToken = h.firstByteAt.Sub(h.request.Arrived)
 	}
-	v.r.cfg.Metrics.RequestEnded(e)
-	v.r.cfg.Metrics.Sent(v.service.Name, v.sends, v.prefills)
-	if v.longestGap > 0 {
-		v.r.cfg.Metrics.Gap(v.service.Name, v.longestGap)
+	h.relay.cfg.Metrics.RequestEnded(e)
+	h.relay.cfg.Metrics.Sent(h.service.Name, h.sends, h.prefills)
+	if h.longestGap > 0 {
+		h.relay.cfg.Metrics.Gap(h.service.Name, h.longestGap)
 	}
 }
 
-// logPlaced writes where an attempt goes and what that was decided by.
-func (v *run) logPlaced(a schedule.Ask, plan lifecycle.Plan) {
-	d := v.r.cfg.Directory.Directory()
-	v.mutex.Lock()
-	home := v.home
-	v.mutex.Unlock()
-	v.r.cfg.Log.WithFields(log.Fields{
-		log.FieldRequest:    v.q.ID,
+// logPlaced logs where an attempt is sent, and the table generation and directory revision of
+// the decision.
+func (h *handler) logPlaced(a schedule.Ask, plan lifecycle.Plan) {
+	d := h.relay.cfg.Directory.Directory()
+	h.mutex.Lock()
+	home := h.home
+	h.mutex.Unlock()
+	h.relay.cfg.Log.WithFields(log.Fields{
+		log.FieldRequest:    h.request.ID,
 		log.FieldAsk:        a.ID.String(),
-		log.FieldGeneration: v.generation,
-		"route":             v.route.Name,
-		"service":           v.service.Name,
+		log.FieldGeneration: h.generation,
+		"route":             h.route.Name,
+		"service":           h.service.Name,
 		"home":              home,
-		"alone":             v.alone,
+		"alone":             h.selfPlaced,
 		"prefill":           plan.Prefill,
 		"decode":            plan.Decode,
-		"distance":          v.distance(d, plan).String(),
+		"distance":          h.distance(d, plan).String(),
 		"reuse":             plan.Reuse,
-		"counted_prefill":   v.counted.Prefill,
-		"counted_decode":    v.counted.Decode,
-		"after_event":       v.lastEvent,
+		"counted_prefill":   h.counted.Prefill,
+		"counted_decode":    h.counted.Decode,
+		"after_event":       h.lastEvent,
 		"avoided":           len(a.Avoid),
 		"directory":         d.Revision(),
-		"ms":                v.r.cfg.Now().Sub(v.q.Arrived).Milliseconds(),
+		"ms":                h.relay.cfg.Now().Sub(h.request.Arrived).Milliseconds(),
 	}).Info("attempt_placed")
 }
 
-// logFailed writes how an attempt failed. Where an endpoint may have run the
-// request the line names it by its fingerprint: a request that comes again has a
-// new id.
-func (v *run) logFailed(a schedule.Ask, res result) {
+// logFailed logs why an attempt failed. If an endpoint may have run the request, the event has
+// its fingerprint, because a retry by the caller has a new ID.
+func (h *handler) logFailed(a schedule.Ask, res result) {
 	fields := log.Fields{
-		log.FieldRequest: v.q.ID,
+		log.FieldRequest: h.request.ID,
 		log.FieldAsk:     a.ID.String(),
 		log.FieldEngine:  res.endpoint,
 		log.FieldReason:  res.reason,
-		"prefill":        v.plan.Prefill,
-		"decode":         v.plan.Decode,
-		"alone":          v.alone,
-		"ms":             v.r.cfg.Now().Sub(v.q.Arrived).Milliseconds(),
+		"prefill":        h.plan.Prefill,
+		"decode":         h.plan.Decode,
+		"alone":          h.selfPlaced,
+		"ms":             h.relay.cfg.Now().Sub(h.request.Arrived).Milliseconds(),
 	}
 	if res.broke != adapter.BreakNone {
 		fields["broke"] = res.broke
 		fields["ran_ms"] = res.ran.Milliseconds()
-		fields["fingerprint"] = v.suspect().Fingerprint().String()
+		fields["fingerprint"] = h.suspect().Fingerprint().String()
 	}
-	v.r.cfg.Log.WithFields(fields).Info("attempt_failed")
+	h.relay.cfg.Log.WithFields(fields).Info("attempt_failed")
 }
 
-// distance is how far from this box the endpoint is that gives the answer, or the one
-// that reads the prompt while that is open.
-func (v *run) distance(d directory.Directory, plan lifecycle.Plan) locality.Distance {
+// distance returns the distance from this box to the endpoint that gives the answer, or to the
+// prefill engine while the decode engine is open.
+func (h *handler) distance(d directory.Directory, plan lifecycle.Plan) locality.Distance {
 	id := plan.Decode
 	if id == "" {
 		id = plan.Prefill
@@ -126,5 +126,5 @@
 	if !known {
 		return locality.SameZone
 	}
-	return v.r.cfg.Regions.Distance(v.r.cfg.Zone, w.Zone)
+	return h.relay.cfg.Regions.Distance(h.relay.cfg.Zone, w.Zone)
 }
--- a/coordination/relay/refuse.go
+++ b/coordination/relay/refuse.go
@@ -14,51 +14,52 @@
 	"runridge.example/runridge/state/group"
 )
 
-// refusal is a group's answer that it has no room in time.
-type refusal struct {
+// groupRefusal is a group's refusal for lack of capacity in time.
+type groupRefusal struct {
 	group      string
 	retryAfter time.Duration
-	// far says that the group is in another region.
-	far bool
+	// remote reports whether the group is in another region.
+	remote bool
 }
 
 const (
-	// maxSpills is how many other groups of the region are asked when one has no
-	// room.
+	// maxSpills is how many other groups of the region are asked after the first one has no
+	// capacity.
 	maxSpills = 2
-	// maxFarSpills is how many groups of other regions are asked after them. One: a
-	// question there takes long, and the other region's own callers come first.
-	maxFarSpills = 1
+	// maxRemoteSpills is how many groups of other regions are asked after those of the region.
+	// It is one because an ask to another region takes long and that region's own callers have
+	// precedence.
+	maxRemoteSpills = 1
 )
 
-// spills notes a refusal and says whether another question follows: to another
-// group or, where none has room in time, to the first one for what is left by
-// others. A group that has no engine for the request, as its zone is drained, costs
-// none of the questions to others.
-func (v *run) spills(res result) bool {
+// spillAfter records a refusal and reports whether another ask follows: to another group or, if
+// none has capacity in time, to the first group for capacity that others leave unused. A group
+// without an engine for the request, for instance because its zone is drained, does not count
+// toward the limits on spills.
+func (h *handler) spillAfter(res result) bool {
 	switch {
-	case v.last:
+	case h.lastAsk:
 		return false
 	case res.noEngine:
-		v.without = append(v.without, v.group)
-	case res.noRoom:
-		v.refusals = append(v.refusals, refusal{group: v.group, retryAfter: res.retryAfter, far: v.travel(v.group) > 0})
+		h.groupsWithoutEngine = append(h.groupsWithoutEngine, h.group)
+	case res.noCapacity:
+		h.refusals = append(h.refusals, groupRefusal{group: h.group, retryAfter: res.retryAfter, remote: h.roundTrip(h.group) > 0})
 	default:
 		return false
 	}
-	if v.chooseGroup() != "" {
+	if h.chooseGroup() != "" {
 		return true
 	}
-	if len(v.refusals) == 0 || v.late || !v.mayBeLate() {
+	if len(h.refusals) == 0 || h.late || !h.mayBeLate() {
 		return false
 	}
-	v.late, v.last = true, true
+	h.late, h.lastAsk = true, true
 	return true
 }
 
-// place is where a group of the request's service is.
-func (v *run) place(key string) (group.Place, bool) {
-	places := v.r.cfg.Homes.PlacesOf(v.service.Name)
+// place returns the place of a group of the request's service.
+func (h *handler) place(key string) (group.Place, bool) {
+	places := h.relay.cfg.Homes.PlacesOf(h.service.Name)
 	i := slices.IndexFunc(places, func(p group.Place) bool { return p.Key == key })
 	if i < 0 {
 		return group.Place{}, false
@@ -66,117 +67,120 @@
 	return places[i], true
 }
 
-// spillPlaces are the groups that may be asked after some refusals. Where the
-// region has none, those of the others stand in for them.
-func spillPlaces(places []group.Place, region string, refusals []refusal) []group.Place {
-	near, far := 0, 0
+// spillCandidates returns the groups that may be asked after the given refusals. If the region
+// has no groups, groups of other regions are treated as its own.
+func spillCandidates(places []group.Place, region string, refusals []groupRefusal) []group.Place {
+	near, remote := 0, 0
 	for _, f := range refusals {
-		if f.far {
-			far++
+		if f.remote {
+			remote++
 		} else {
 			near++
 		}
 	}
-	isFar := func(p group.Place) bool { return p.Region != region }
-	if !slices.ContainsFunc(places, func(p group.Place) bool { return !isFar(p) }) {
-		near, far, isFar = far, near, func(group.Place) bool { return false }
+	isRemote := func(p group.Place) bool { return p.Region != region }
+	if !slices.ContainsFunc(places, func(p group.Place) bool { return !isRemote(p) }) {
+		near, remote, isRemote = remote, near, func(group.Place) bool { return false }
 	}
 	return slices.DeleteFunc(slices.Clone(places), func(p group.Place) bool {
-		if isFar(p) {
-			return far >= maxFarSpills
+		if isRemote(p) {
+			return remote >= maxRemoteSpills
 		}
 		return near > maxSpills
 	})
 }
 
-// mayBeLate says whether the request may be served late: the route has a target,
-// it is known how long the caller waits, and it has nothing of the answer yet.
-func (v *run) mayBeLate() bool {
-	if v.route.TargetMS <= 0 || v.q.LastEvent != "" || v.begun {
+// mayBeLate reports whether the request may be served after its target: the route has a target,
+// the time that the caller waits is known, and the caller has received nothing of the answer.
+func (h *handler) mayBeLate() bool {
+	if h.route.TargetMS <= 0 || h.request.LastEvent != "" || h.headSent {
 		return false
 	}
-	return !v.route.Stream() || v.route.GiveUpMS > 0
+	return !h.route.Stream() || h.route.GiveUpMS > 0
 }
 
-// giveUp is how much longer the caller waits for the answer or its first event.
-func (v *run) giveUp() time.Duration {
-	now := v.r.cfg.Now()
-	left := v.deadline.Sub(now)
-	if v.route.Stream() {
-		left = min(left, v.route.GiveUp()-now.Sub(v.q.Arrived))
+// callerPatience returns how much longer the caller waits for the answer or its first event.
+func (h *handler) callerPatience() time.Duration {
+	now := h.relay.cfg.Now()
+	left := h.deadline.Sub(now)
+	if h.route.Stream() {
+		left = min(left, h.route.GiveUp()-now.Sub(h.request.Arrived))
 	}
 	return left
 }
 
-// chooseGroup is the group that is asked next: none of those that have no room or no
-// engine, or that it may not go to, but the first one again for the last question.
-func (v *run) chooseGroup() string {
-	if v.last {
-		return v.refusals[0].group
+// chooseGroup returns the group to ask next; empty if none is left. Groups are left out that
+// have no capacity or no engine for the request, or that it may not use. The last ask goes to
+// the first group again.
+func (h *handler) chooseGroup() string {
+	if h.lastAsk {
+		return h.refusals[0].group
 	}
-	known := v.r.cfg.Directory.Directory()
-	closed := v.anyClosed(known)
-	places := slices.DeleteFunc(slices.Clone(v.r.cfg.Homes.PlacesOf(v.service.Name)), func(p group.Place) bool {
-		return slices.Contains(v.without, p.Key) || !v.mayAsk(known, p, closed)
+	known := h.relay.cfg.Directory.Directory()
+	closed := h.anyClosed(known)
+	places := slices.DeleteFunc(slices.Clone(h.relay.cfg.Homes.PlacesOf(h.service.Name)), func(p group.Place) bool {
+		return slices.Contains(h.groupsWithoutEngine, p.Key) || !h.groupEligible(known, p, closed)
 	})
-	full := make([]string, 0, len(v.refusals))
-	for _, f := range v.refusals {
-		full = append(full, f.group)
+	refused := make([]string, 0, len(h.refusals))
+	for _, f := range h.refusals {
+		refused = append(refused, f.group)
 	}
-	at := v.r.origin()
-	return home.ChooseGroup(spillPlaces(places, at.Region, v.refusals), at, v.id.Sequence, v.attempt, full)
+	at := h.relay.origin()
+	return home.ChooseGroup(spillCandidates(places, at.Region, h.refusals), at, h.id.Sequence, h.attempt, refused)
 }
 
-// conclude gives the caller the final word after the last attempt.
-func (v *run) conclude(ctx context.Context, res result) {
+// finish sends the caller the final answer after the last attempt.
+func (h *handler) finish(ctx context.Context, res result) {
 	switch {
-	case v.begun:
-		v.ended("broken", res.reason)
-		v.c.Break()
+	case h.headSent:
+		h.recordEnd("broken", res.reason)
+		h.caller.Break()
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		v.ended("caller_gone", res.reason)
-		v.c.Break()
-	case v.fallback != nil:
-		v.pass(v.fallback)
-	case v.runs > 0 && ctx.Err() != nil:
-		v.refuse(http.StatusGatewayTimeout, "timeout", 0)
-	case v.runs > 0:
-		v.refuse(http.StatusBadGateway, res.reason, 0)
+		h.recordEnd("caller_gone", res.reason)
+		h.caller.Break()
+	case h.fallback != nil:
+		h.sendBuffered(h.fallback)
+	case h.runs > 0 && ctx.Err() != nil:
+		h.refuse(http.StatusGatewayTimeout, "timeout", 0)
+	case h.runs > 0:
+		h.refuse(http.StatusBadGateway, res.reason, 0)
 	case res.reason == reasonKeyWithdrawn:
-		v.challenge(reasonKeyWithdrawn)
+		h.challenge(reasonKeyWithdrawn)
 	case res.reason == reasonPoison:
-		v.refusePoison()
-	case len(v.refusals) > 0:
-		// The request's own group has booked the time to come back.
-		v.refuse(http.StatusServiceUnavailable, res.reason, v.retryTime(v.refusals[0].retryAfter))
+		h.refusePoison()
+	case len(h.refusals) > 0:
+		// The request's own group has reserved capacity for the retry.
+		h.refuse(http.StatusServiceUnavailable, res.reason, h.clampRetryAfter(h.refusals[0].retryAfter))
 	default:
-		v.refuse(http.StatusServiceUnavailable, res.reason, v.retryTime(v.comeBack(res)))
+		h.refuse(http.StatusServiceUnavailable, res.reason, h.clampRetryAfter(h.retryAfterRest(res)))
 	}
 }
 
-// comeBack is after how long the request may be served that had no endpoint to go to.
-func (v *run) comeBack(res result) time.Duration {
-	if rest := v.restLeft(); rest > 0 && (res.noEngine || isWithheld(res.reason)) {
+// retryAfterRest returns the retry delay for a request that no endpoint could take: the
+// remaining rest of an endpoint, if that is what it waits for.
+func (h *handler) retryAfterRest(res result) time.Duration {
+	if rest := h.remainingRest(); rest > 0 && (res.noEngine || isWithheld(res.reason)) {
 		return rest
 	}
 	return res.retryAfter
 }
 
-// patienceShare is the part of the time left that a refused caller may be told
-// to wait; callers give up on more.
-const patienceShare = 0.32
+// maxRetryShare is the part of the remaining time that a refused caller may be asked to wait;
+// callers give up on longer delays.
+const maxRetryShare = 0.32
 
-// retryTime is when the caller is told to come again.
-func (v *run) retryTime(after time.Duration) time.Duration {
-	return max(min(after, v.patience()), leastRetry)
+// clampRetryAfter limits a retry delay to what the caller accepts.
+func (h *handler) clampRetryAfter(after time.Duration) time.Duration {
+	return max(min(after, h.maxRetryAfter()), minRetryAfter)
 }
 
-// patience is the longest wait that a refused caller accepts.
-func (v *run) patience() time.Duration {
-	return time.Duration(patienceShare * float64(v.deadline.Sub(v.r.cfg.Now())))
+// maxRetryAfter returns the longest retry delay that the caller accepts.
+func (h *handler) maxRetryAfter() time.Duration {
+	return time.Duration(maxRetryShare * float64(h.deadline.Sub(h.relay.cfg.Now())))
 }
 
-func (v *run) refuse(status int, reason string, after time.Duration) {
-	v.ended("refused", reason)
-	v.c.Refuse(Refusal{Status: status, Reason: reason, RetryAfter: after})
+// refuse records the refusal and sends it to the caller.
+func (h *handler) refuse(status int, reason string, after time.Duration) {
+	h.recordEnd("refused", reason)
+	h.caller.Refuse(Refusal{Status: status, Reason: reason, RetryAfter: after})
 }
--- a/coordination/relay/rehome_test.go
+++ b/coordination/relay/rehome_test.go
@@ -14,12 +14,12 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// movingHomes are homes of two groups; every question finds another home.
+// movingHomes are the homes of two groups; every lookup returns another home.
 type movingHomes struct {
 	mutex sync.Mutex
 	turn  int
-	// told is the group that each withdrawal named.
-	told []string
+	// withdrawnFrom lists the group of each withdrawal.
+	withdrawnFrom []string
 }
 
 func (*movingHomes) PlacesOf(string) []group.Place { return []group.Place{{Key: "a"}, {Key: "b"}} }
@@ -35,35 +35,36 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if _, ok := body.(home.Withdrawn); ok {
-		m.told = append(m.told, group)
+		m.withdrawnFrom = append(m.withdrawnFrom, group)
 	}
 	return ring.Accepted
 }
 
-// TestRehomeWhileTheGroupChanges needs the race detector to find that the group
-// is read while it is written.
+// TestRehomeWhileTheGroupChanges guards against rehome reading the group while another
+// goroutine writes it; this part needs the race detector. It also checks that a withdrawal
+// names the group of the request.
 func TestRehomeWhileTheGroupChanges(t *testing.T) {
 	homes := &movingHomes{}
 	r := New(Config{Homes: homes, Log: log.Discard(), NextID: func() lifecycle.RequestID { return lifecycle.RequestID{} }})
-	v := newRun(r, Request{}, nil)
-	v.running = true
+	h := newHandler(r, Request{}, nil)
+	h.running = true
 	const rounds = 1000
-	var both sync.WaitGroup
-	both.Go(func() {
+	var wg sync.WaitGroup
+	wg.Go(func() {
 		for i := range rounds {
-			v.setGroup([]string{"a", "b"}[i%2])
+			h.setGroup([]string{"a", "b"}[i%2])
 		}
 	})
-	both.Go(func() {
+	wg.Go(func() {
 		for range rounds {
-			v.rehome()
+			h.rehome()
 		}
 	})
-	both.Wait()
-	v.setGroup("a")
-	homes.told = nil
-	v.rehome()
-	if len(homes.told) != 1 || homes.told[0] != "a" {
-		t.Errorf("withdrawn at %v, want the run's own group alone", homes.told)
+	wg.Wait()
+	h.setGroup("a")
+	homes.withdrawnFrom = nil
+	h.rehome()
+	if len(homes.withdrawnFrom) != 1 || homes.withdrawnFrom[0] != "a" {
+		t.Errorf("withdrawn at %v, want only the group of the request", homes.withdrawnFrom)
 	}
 }
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package relay drives opaque requests: it finds the service by the table's
-// routes, asks the home of the service's group for endpoints, sends the
-// request there, and passes the answer on. The bytes of requests and answers
-// are not read, but for the boundaries of events in streams.
+// Package relay handles opaque requests: it selects the service by the routes of the table,
+// asks the home of a group of the service for endpoints, sends the request to them, and streams
+// the answer back to the caller. Requests and answers are not parsed, except that events are
+// delimited in streams.
 package relay
 
 import (
@@ -33,38 +33,38 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Homes takes questions to the home of a group.
+// Homes exchanges messages with the homes of groups.
 type Homes interface {
 	PlacesOf(service string) []group.Place
 	HomesOf(group string) []string
 	Tell(box, group string, body home.Body) ring.Outcome
 }
 
-// Directory gives the endpoints as this box knows them.
+// Directory provides the endpoints that this box knows.
 type Directory interface {
 	Directory() directory.Directory
-	// Left tells that another endpoint has the address of this one.
+	// Left records that another endpoint now has the address of the given one.
 	Left(id string)
 }
 
-// Quotas admits requests within their accounts' quotas over all boxes.
+// Quotas enforces the quotas of accounts across all boxes.
 type Quotas interface {
 	Admit(ctx context.Context, u quota.Use) quota.Verdict
 	// GiveBack returns the cost of a request that reached no endpoint.
 	GiveBack(account string, cost float64)
 }
 
-// Metrics counts requests.
+// Metrics records metrics of requests.
 type Metrics interface {
 	RequestEnded(e metric.Ended)
-	// Sent counts a request's arrivals at endpoints: those for an answer and
-	// those for a prefill alone.
+	// Sent counts how often a request arrived at endpoints: for an answer, and for a prefill
+	// only.
 	Sent(service string, answers, prefills int)
-	// Gap records the longest pause in a stream.
+	// Gap records the longest pause between two pieces of a stream.
 	Gap(service string, longest time.Duration)
-	// BudgetDenied counts a retry that the budget did not allow.
+	// BudgetDenied counts a retry that the retry budget did not allow.
 	BudgetDenied(service string)
-	// BrokeOff counts an exchange with an endpoint that broke off, by how it did.
+	// BrokeOff counts an exchange with an endpoint that was interrupted, by cause.
 	BrokeOff(service, how string)
 	// QuotaDecided counts a decision on an account's quota.
 	QuotaDecided(account, outcome string)
@@ -74,43 +74,43 @@
 type Config struct {
 	Box  string
 	Zone string
-	// Regions knows the region of each availability zone.
+	// Regions maps availability zones to regions.
 	Regions locality.Map
-	// RoundTrip is how long a message to another region and its answer take; nil or
-	// 0 is not known.
+	// RoundTrip returns the round trip time to another region; nil or a result of 0 means
+	// unknown.
 	RoundTrip func(region string) time.Duration
 	Endpoints Endpoints
 	Homes     Homes
 	Directory Directory
 	Quotas    Quotas
-	// Quarantine keeps poison requests from the endpoints; nil is none.
+	// Quarantine keeps poison requests away from the endpoints; nil disables it.
 	Quarantine *quarantine.Keeper
-	// Ready says whether the box knows where requests may go; nil is always.
+	// Ready reports whether the box knows where requests may go; nil means always.
 	Ready func() bool
-	// Current says whether the table in force is known to be the newest.
+	// Current reports whether the table in force is known to be the newest.
 	Current func() bool
-	// ParsePrefill reads an engine's answer to a prefill: the handle and the
-	// number of tokens.
+	// ParsePrefill parses an engine's answer to a prefill and returns the handle of the result
+	// and the number of tokens.
 	ParsePrefill func(body []byte) (handle string, tokens int, err error)
-	// NextID names a new request of this box.
+	// NextID returns the ID of a new request of this box.
 	NextID func() lifecycle.RequestID
-	// Boxes is the number of boxes that share the retry budgets.
+	// Boxes returns the number of boxes that share the retry budgets.
 	Boxes func() int
-	// Metrics, if set, counts what requests come to.
+	// Metrics records the outcome of requests; it may be nil.
 	Metrics Metrics
-	// Budget bounds the retries of a service over all boxes.
+	// Budget limits the retries of each service across all boxes.
 	Budget retry.Config
-	// Cold bounds what cold endpoints get.
+	// Cold limits the requests sent to cold endpoints.
 	Cold pace.Bound
-	// Notices keeps what endpoints say of themselves in their answers.
+	// Notices stores the notices that endpoints attach to their answers.
 	Notices *notice.Keeper
-	// Held bounds the bytes that are held of answers; nil is no bound.
+	// Held limits the bytes of answers that are kept in memory; nil means no limit.
 	Held *held.Budget
 	Log  log.Logger
 	Now  func() time.Time
 }
 
-// Relay drives all opaque requests of one box.
+// Relay handles all opaque requests of one box.
 type Relay struct {
 	cfg     Config
 	started time.Time
@@ -118,17 +118,17 @@
 	mutex sync.Mutex
 	index route.Index
 	table table.Table
-	// accounts are those of the table; keyed says that a table of this process
-	// had any.
-	accounts account.Index
-	keyed    bool
-	runs     map[lifecycle.RequestID]*run
-	budgets  map[string]retry.Budget
-	// patience is how long the callers of each route say they will wait.
+	// accounts indexes the accounts of the table in force; hadAccounts reports whether any
+	// table of this process had accounts.
+	accounts    account.Index
+	hadAccounts bool
+	runs        map[lifecycle.RequestID]*handler
+	budgets     map[string]retry.Budget
+	// patience tracks, per route, how long callers state that they wait.
 	patience map[string]estimate.Patience
 }
 
-// New makes a relay.
+// New returns a Relay with the given configuration.
 func New(cfg Config) *Relay {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -136,13 +136,13 @@
 	return &Relay{
 		cfg:      cfg,
 		started:  cfg.Now(),
-		runs:     make(map[lifecycle.RequestID]*run),
+		runs:     make(map[lifecycle.RequestID]*handler),
 		budgets:  make(map[string]retry.Budget),
 		patience: make(map[string]estimate.Patience),
 	}
 }
 
-// SetBudget replaces the bound on retries.
+// SetBudget replaces the limits of the retry budgets.
 func (r *Relay) SetBudget(c retry.Config) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -157,7 +157,7 @@
 	r.index = index
 	r.table = t
 	r.accounts = accounts
-	r.keyed = r.keyed || accounts.Any()
+	r.hadAccounts = r.hadAccounts || accounts.Any()
 }
 
 func (r *Relay) current() (route.Index, table.Table) {
@@ -166,20 +166,20 @@
 	return r.index, r.table
 }
 
-// Limits bound what callers may send, by the table in force.
+// Limits returns the limits on requests of the table in force.
 func (r *Relay) Limits() table.Limits {
 	_, t := r.current()
 	return t.Limits
 }
 
-// Active is the number of requests under way.
+// Active returns the number of requests in flight.
 func (r *Relay) Active() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.runs)
 }
 
-// Owns says whether a request is under way here.
+// Owns reports whether this box is handling the request.
 func (r *Relay) Owns(id lifecycle.RequestID) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -187,61 +187,61 @@
 	return ok
 }
 
-// Decide takes a home's decision and reports whether it is for a request of
-// this relay.
+// Decide delivers a home's decision and reports whether the request belongs to this relay.
 func (r *Relay) Decide(from, _ string, decision schedule.Decision) bool {
 	id := schedule.Asked(decision).ID
 	r.mutex.Lock()
-	v, ok := r.runs[id.Request]
+	h, ok := r.runs[id.Request]
 	r.mutex.Unlock()
 	if !ok {
 		return false
 	}
 	select {
-	case v.decisions <- decided{from: from, id: id, decision: decision}:
+	case h.decisions <- homeDecision{from: from, id: id, decision: decision}:
 	default:
-		// A run that is not asking does not read; the home's check finds out.
+		// Only a handler that waits for a decision reads its queue. If a grant is dropped here,
+		// the home finds out when it checks its old grants.
 	}
 	return true
 }
 
-// Rehome tells the homes of all running requests where they stand; the set of
-// boxes with duties has changed.
+// Rehome moves all requests in flight to the current homes of their groups, after the set of
+// boxes that act as homes has changed.
 func (r *Relay) Rehome() {
 	r.mutex.Lock()
-	runs := make([]*run, 0, len(r.runs))
-	for _, v := range r.runs {
-		runs = append(runs, v)
+	runs := make([]*handler, 0, len(r.runs))
+	for _, h := range r.runs {
+		runs = append(runs, h)
 	}
 	r.mutex.Unlock()
-	for _, v := range runs {
-		v.rehome()
+	for _, h := range runs {
+		h.rehome()
 	}
 }
 
-// Serve answers one request. The context ends when the caller has gone.
+// Serve handles one request. The context is canceled when the caller disconnects.
 func (r *Relay) Serve(ctx context.Context, q Request, c Caller) {
-	v := newRun(r, q, c)
+	h := newHandler(r, q, c)
 	r.mutex.Lock()
-	r.runs[v.id] = v
+	r.runs[h.id] = h
 	r.mutex.Unlock()
 	defer func() {
 		r.mutex.Lock()
-		delete(r.runs, v.id)
+		delete(r.runs, h.id)
 		r.mutex.Unlock()
 	}()
-	v.serve(ctx)
+	h.serve(ctx)
 }
 
-// noteRequest counts a request for a service's retry budget.
+// noteRequest adds a request to the retry budget of its service.
 func (r *Relay) noteRequest(service string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.budgets[service] = r.budgets[service].WithRequest(r.uptime())
 }
 
-// noteWait takes in how long a caller of a route will wait, and returns how long
-// ago the caller first tried.
+// noteWait records how long a caller of a route waits, and returns the estimated time since the
+// caller's first try.
 func (r *Relay) noteWait(route string, wait time.Duration) time.Duration {
 	if wait <= 0 {
 		return 0
@@ -252,16 +252,17 @@
 	return r.patience[route].Age(wait)
 }
 
-// origin is where this box's requests come in.
+// origin returns the zone and region in which this box receives requests.
 func (r *Relay) origin() home.Origin {
 	return home.Origin{Zone: r.cfg.Zone, Region: r.cfg.Regions.Of(r.cfg.Zone)}
 }
 
-// uptime is how long the box has run, by the steady clock.
+// uptime returns how long the box has run, by the monotonic clock.
 func (r *Relay) uptime() time.Duration { return r.cfg.Now().Sub(r.started) }
 
-// mayRepeat spends one further arrival at a service, if the budget has it.
-func (r *Relay) mayRepeat(service string) bool {
+// spendRetry takes one more arrival at a service from its retry budget and reports whether the
+// budget allowed it.
+func (r *Relay) spendRetry(service string) bool {
 	boxes := 1
 	if r.cfg.Boxes != nil {
 		boxes = r.cfg.Boxes()
--- a/coordination/relay/run.go
+++ b/coordination/relay/run.go
@@ -23,104 +23,106 @@
 )
 
 const (
-	// decisionQueue bounds the decisions that wait for one run.
-	decisionQueue = 8
-	// maxSends bounds the endpoints that one request is offered to, whatever
-	// they answer.
+	// decisionQueueSize limits the decisions that wait for one request.
+	decisionQueueSize = 8
+	// maxSends limits how many endpoints one request is sent to, whatever they answer.
 	maxSends = 4
-	// notReadyRetry is when to come again to a box that has no table yet.
+	// notReadyRetry is the retry delay for callers of a box that has no table yet.
 	notReadyRetry = 300 * time.Millisecond
-	// leastRetry is the least that a refused caller is told to wait.
-	leastRetry = 100 * time.Millisecond
-	// silentHomeRetry is when to come again where no home speaks: boxes agree on another
-	// one in about that time.
+	// minRetryAfter is the minimum retry delay in a refusal.
+	minRetryAfter = 100 * time.Millisecond
+	// silentHomeRetry is the retry delay when no home answers: the boxes agree on another home
+	// in about that time.
 	silentHomeRetry = 2 * time.Second
-	// leastLeft is the least time left for which another send is worth it.
-	leastLeft = 30 * time.Millisecond
+	// minRemaining is the minimum time before the deadline for another attempt.
+	minRemaining = 30 * time.Millisecond
 )
 
-// run is one request on its way. One goroutine drives it; rehome and Decide
-// come from others.
-type run struct {
-	r  *Relay
-	q  Request
-	c  Caller
-	id lifecycle.RequestID
+// handler handles one request. One goroutine runs serve; rehome and Relay.Decide are called
+// from others.
+type handler struct {
+	relay   *Relay
+	request Request
+	caller  Caller
+	id      lifecycle.RequestID
 
-	// generation is that of the table that the request was routed by.
+	// generation is the generation of the table by which the request was routed.
 	generation uint64
 	route      table.Route
 	service    table.Service
-	// group is written under the mutex: rehome reads it too.
+	// group is written with the mutex held because rehome reads it.
 	group    string
 	deadline time.Time
-	// account holds the request's key; nil is none. charged is the cost that was
-	// taken from a quota, and chargedTo whose: the key may have been passed on since.
+	// account is the account that holds the request's key; nil if none. charged is the cost
+	// taken from a quota, and chargedTo the account it was taken from, which may no longer hold
+	// the key.
 	account *table.Account
-	// allowed are the regions that the route and the account allow, by the table in
-	// force when they were last looked up.
+	// allowed holds the regions that both the route and the account permit, by the table in
+	// force at the last lookup.
 	allowed   locality.Allowed
 	charged   float64
 	chargedTo string
 
-	decisions chan decided
-	moved     chan struct{}
+	decisions chan homeDecision
+	homeMoved chan struct{}
 
-	// quarantined is the request as the quarantine sees it; nil is not asked for yet.
+	// quarantined is the request as the quarantine tracks it; nil until first needed.
 	quarantined *quarantine.Request
 
-	// attempt counts the questions to homes.
+	// attempt counts the asks, starting at 1.
 	attempt uint32
-	// sends counts arrivals at endpoints, prefills those for a prefill alone;
-	// runs is how many endpoints may have run the request.
+	// sends counts the sends to endpoints for an answer and prefills those for a prefill only;
+	// runs counts the endpoints that may have run the request.
 	sends, prefills, runs int
-	// arrivals are those that the retry budget counts, and paid is what was taken
-	// from it for one that did not count. takenUp says that an engine took a prefill
-	// up.
-	arrivals, paid int
-	takenUp        bool
-	avoid          []string
-	// fallback is an endpoint's own failure, passed on if nothing better comes.
-	fallback *whole
-	// kept is a prefill result that an engine keeps for this run.
+	// arrivals counts the arrivals that the retry budget charges for. prepaid counts the
+	// arrivals already taken from the budget that did not count in the end. prefillAccepted
+	// reports whether an engine has accepted a prefill.
+	arrivals, prepaid int
+	prefillAccepted   bool
+	avoid             []string
+	// fallback is an endpoint's 5xx answer, which the caller gets if no attempt succeeds.
+	fallback *bufferedAnswer
+	// kept is a prefill result that an engine keeps for this request.
 	kept *keptResult
 	// sentAt is when the latest exchange began.
 	sentAt time.Time
-	// begun is true once the caller has the answer's head, and lastEvent is
-	// the last event that it has.
-	begun     bool
+	// headSent reports whether the caller has received the header of the answer, and lastEvent
+	// is the ID of the last event it received.
+	headSent  bool
 	lastEvent string
-	// firstAt is when the first byte of the answer went to the caller.
-	firstAt time.Time
-	// steps are the tokens that the attempt's events stood for, but those of
-	// the first, and stepTime the time in which they came.
+	// firstByteAt is when the first byte of the answer was sent to the caller.
+	firstByteAt time.Time
+	// steps counts the tokens of the attempt's events after the first one, and stepTime is the
+	// time in which they arrived.
 	steps    int
 	stepTime time.Duration
-	// heldUp is whether the caller holds its endpoint up.
-	heldUp holdUp
+	// stall tracks whether the caller keeps the endpoint from writing.
+	stall callerStall
 	// longestGap is the longest pause between two pieces of a stream.
 	longestGap time.Duration
 	lastPiece  time.Time
-	// plan is that of the latest attempt; alone says that no home made it.
-	plan  lifecycle.Plan
-	alone bool
-	// counted is what its home has counted of it.
+	// plan is the plan of the latest attempt; selfPlaced reports whether this box made it
+	// without a home.
+	plan       lifecycle.Plan
+	selfPlaced bool
+	// counted holds what the home has counted of the attempt toward the limits of its
+	// endpoints.
 	counted pace.Counted
-	// reason is what ended or failed the latest attempt.
+	// reason is why the latest attempt ended or failed.
 	reason string
-	// age is how long before its arrival the caller first tried, as far as the
-	// time that it has left shows.
+	// age is the estimated time between the caller's first try and the arrival of this request,
+	// derived from the time that the caller still waits.
 	age time.Duration
-	// late says that the request cannot meet its target any more.
+	// late reports that the request can no longer meet its target.
 	late bool
-	// last says that no group has room in time, and that the first one is asked
-	// for what others leave.
-	last bool
-	// refusals are the homes' refusals of this request for want of room, the
-	// one of its own group first.
-	refusals []refusal
-	// without are the groups that have no engine for it.
-	without []string
+	// lastAsk reports that no group has capacity in time and that the first group is asked for
+	// capacity that others leave unused.
+	lastAsk bool
+	// refusals lists the groups that refused this request for lack of capacity, its own group
+	// first.
+	refusals []groupRefusal
+	// groupsWithoutEngine lists the groups that have no engine for the request.
+	groupsWithoutEngine []string
 
 	mutex   sync.Mutex
 	home    string
@@ -128,175 +130,176 @@
 	adopted schedule.Adopted
 }
 
-func newRun(r *Relay, q Request, c Caller) *run {
-	return &run{
-		r:         r,
-		q:         q,
-		c:         c,
+func newHandler(r *Relay, q Request, c Caller) *handler {
+	return &handler{
+		relay:     r,
+		request:   q,
+		caller:    c,
 		id:        r.cfg.NextID(),
-		decisions: make(chan decided, decisionQueue),
-		moved:     make(chan struct{}, 1),
+		decisions: make(chan homeDecision, decisionQueueSize),
+		homeMoved: make(chan struct{}, 1),
 		lastEvent: q.LastEvent,
 	}
 }
 
-// result is what came of one attempt.
+// result is the outcome of one attempt.
 type result struct {
 	kind resultKind
-	// endpoint is the one that failed, if one did.
+	// endpoint is the endpoint that failed, if one did.
 	endpoint   string
 	reason     string
 	retryAfter time.Duration
-	// silent says that the endpoint was sent the request and gave no answer.
+	// silent reports that the request was sent and the endpoint did not answer.
 	silent bool
-	// full says that the endpoint turned the request away for want of room.
+	// full reports that the endpoint rejected the request for lack of capacity.
 	full bool
-	// noRoom says that the home refused because its group has no room in time.
-	noRoom bool
-	// unreached says that no connection to it could be made, answered that it
-	// answered with an error of its own.
+	// noCapacity reports that the home refused because its group has no capacity in time.
+	noCapacity bool
+	// unreached reports that no connection to the endpoint could be made, and answered that it
+	// answered with an error.
 	unreached, answered bool
-	// broke is how the exchange with the endpoint broke off, if it did, and ran how
-	// long after it was sent that was.
+	// broke is how the exchange with the endpoint was interrupted, if it was, and ran the time
+	// from sending the request until then.
 	broke adapter.Break
 	ran   time.Duration
-	// noEngine says that the home refused because its group has no engine that the
-	// request may go to.
+	// noEngine reports that the home refused because its group has no engine that the request
+	// may go to.
 	noEngine bool
 }
 
 type resultKind uint8
 
 const (
-	// delivered means that the caller has its final word.
+	// delivered means that the caller has received its final answer.
 	delivered resultKind = iota
-	// refused means that the home turned the request away.
+	// refused means that the home or this box refused the attempt.
 	refused
-	// unsent means that nothing was sent, and another placement may do.
+	// unsent means that nothing was sent and another placement may succeed.
 	unsent
-	// turnedAway means that an endpoint proved not to have run it.
+	// turnedAway means that the endpoint provably did not run the request.
 	turnedAway
-	// failed means that an endpoint may have run it, or did.
+	// failed means that an endpoint ran the request or may have run it.
 	failed
 )
 
-// errTimeout ends a request whose time is up.
-var errTimeout = errors.New("the request's time is up")
+// errTimeout is the cause of a context whose request has passed its deadline.
+var errTimeout = errors.New("request deadline exceeded")
 
-// serve drives the request to its end.
-func (v *run) serve(ctx context.Context) {
-	index, t := v.r.current()
-	if index.Generation() == 0 || v.r.cfg.Ready != nil && !v.r.cfg.Ready() {
-		v.refuse(http.StatusServiceUnavailable, "box_not_ready", notReadyRetry)
+// serve handles the request until it is answered, refused or aborted.
+func (h *handler) serve(ctx context.Context) {
+	index, t := h.relay.current()
+	if index.Generation() == 0 || h.relay.cfg.Ready != nil && !h.relay.cfg.Ready() {
+		h.refuse(http.StatusServiceUnavailable, "box_not_ready", notReadyRetry)
 		return
 	}
-	found, ok := index.Match(v.q.Host, v.q.Path)
+	found, ok := index.Match(h.request.Host, h.request.Path)
 	if !ok {
-		v.refuse(http.StatusNotFound, "no_route", 0)
+		h.refuse(http.StatusNotFound, "no_route", 0)
 		return
 	}
-	v.route, v.generation = found, index.Generation()
-	v.service, _ = t.Service(route.Pick(found, v.q.ID))
-	if !v.identify() {
+	h.route, h.generation = found, index.Generation()
+	h.service, _ = t.Service(route.Pick(found, h.request.ID))
+	if !h.identify() {
 		return
 	}
-	v.r.noteRequest(v.service.Name)
-	if v.suspect().Poisonous() {
-		v.refusePoison()
+	h.relay.noteRequest(h.service.Name)
+	if h.suspect().Poisonous() {
+		h.refusePoison()
 		return
 	}
-	v.deadline = v.q.Arrived.Add(found.Timeout())
-	if v.q.Wait > 0 && v.q.Wait < found.Timeout() {
-		v.deadline = v.q.Arrived.Add(v.q.Wait)
+	h.deadline = h.request.Arrived.Add(found.Timeout())
+	if h.request.Wait > 0 && h.request.Wait < found.Timeout() {
+		h.deadline = h.request.Arrived.Add(h.request.Wait)
 	}
-	v.age = v.r.noteWait(found.Name, v.q.Wait)
-	v.late = v.age >= found.Target() && v.mayBeLate()
-	ctx, cancel := context.WithDeadlineCause(ctx, v.deadline, errTimeout)
+	h.age = h.relay.noteWait(found.Name, h.request.Wait)
+	h.late = h.age >= found.Target() && h.mayBeLate()
+	ctx, cancel := context.WithDeadlineCause(ctx, h.deadline, errTimeout)
 	defer cancel()
-	if !v.admitted(ctx) {
+	if !h.admitQuota(ctx) {
 		return
 	}
-	defer v.refund()
-	defer v.free()
+	defer h.refund()
+	defer h.freeKept()
 	for {
-		res := v.try(ctx)
-		v.reason = res.reason
+		res := h.tryOnce(ctx)
+		h.reason = res.reason
 		if res.kind == delivered {
 			return
 		}
-		if !v.goOn(ctx, res) {
-			v.conclude(ctx, res)
+		if !h.shouldRetry(ctx, res) {
+			h.finish(ctx, res)
 			return
 		}
 	}
 }
 
-// goOn says whether another attempt may follow.
-func (v *run) goOn(ctx context.Context, res result) bool {
-	if ctx.Err() != nil || v.r.cfg.Now().Add(leastLeft).After(v.deadline) {
+// shouldRetry reports whether another attempt may follow res, and adds a failed endpoint to
+// those to avoid.
+func (h *handler) shouldRetry(ctx context.Context, res result) bool {
+	if ctx.Err() != nil || h.relay.cfg.Now().Add(minRemaining).After(h.deadline) {
 		return false
 	}
-	if v.sends+v.prefills >= 2*maxSends || v.attempt >= 2*maxSends {
+	if h.sends+h.prefills >= 2*maxSends || h.attempt >= 2*maxSends {
 		return false
 	}
 	switch res.kind {
 	case refused:
-		return v.spills(res)
+		return h.spillAfter(res)
 	case failed:
-		if !v.route.Idempotent() || v.runs >= v.route.MaxAttempts {
+		if !h.route.Idempotent() || h.runs >= h.route.MaxAttempts {
 			return false
 		}
-		if v.begun && v.lastEvent == "" {
+		if h.headSent && h.lastEvent == "" {
 			return false
 		}
 	}
 	if res.endpoint != "" {
-		v.avoid = append(v.avoid, res.endpoint)
+		h.avoid = append(h.avoid, res.endpoint)
 	}
-	return v.sends < maxSends
+	return h.sends < maxSends
 }
 
-// try makes one attempt: a question to the home, and the exchanges that it
+// tryOnce makes one attempt: it asks the home of a group and makes the exchanges that the home
 // grants.
-func (v *run) try(ctx context.Context) result {
-	v.setGroup(v.chooseGroup())
-	if v.group == "" {
-		return result{kind: refused, reason: v.noGroup(), retryAfter: notReadyRetry}
+func (h *handler) tryOnce(ctx context.Context) result {
+	h.setGroup(h.chooseGroup())
+	if h.group == "" {
+		return result{kind: refused, reason: h.noGroupReason(), retryAfter: notReadyRetry}
 	}
-	v.attempt++
-	a := v.question()
-	said := v.ask(ctx, a)
-	if said.refused {
-		v.r.cfg.Log.WithFields(log.Fields{
-			log.FieldRequest: v.q.ID,
+	h.attempt++
+	a := h.newAsk()
+	outcome := h.ask(ctx, a)
+	if outcome.refused {
+		h.relay.cfg.Log.WithFields(log.Fields{
+			log.FieldRequest: h.request.ID,
 			log.FieldAsk:     a.ID.String(),
-			log.FieldReason:  string(said.reason),
-			"retry_ms":       said.retryAfter.Milliseconds(),
-			"ms":             v.r.cfg.Now().Sub(v.q.Arrived).Milliseconds(),
+			log.FieldReason:  string(outcome.reason),
+			"retry_ms":       outcome.retryAfter.Milliseconds(),
+			"ms":             h.relay.cfg.Now().Sub(h.request.Arrived).Milliseconds(),
 		}).Info("ask_refused")
 		return result{
 			kind:       refused,
-			reason:     string(said.reason),
-			retryAfter: said.retryAfter,
-			noRoom:     said.reason == lifecycle.ReasonHopeless && ctx.Err() == nil,
-			noEngine:   said.reason == lifecycle.ReasonNoEngine,
+			reason:     string(outcome.reason),
+			retryAfter: outcome.retryAfter,
+			noCapacity: outcome.reason == lifecycle.ReasonHopeless && ctx.Err() == nil,
+			noEngine:   outcome.reason == lifecycle.ReasonNoEngine,
 		}
 	}
-	plan := said.grant.Plan
-	v.counted = countedBy(said.grant, said.asked)
-	if said.alone {
+	plan := outcome.grant.Plan
+	h.counted = countedBy(outcome.grant, outcome.askedAt)
+	if outcome.noHome {
 		var withheld string
-		if plan, withheld = v.placeAlone(); withheld != "" {
-			// Asking again would hold the caller for as long as its homes are silent.
+		if plan, withheld = h.placeWithoutHome(); withheld != "" {
+			// Another ask would delay the caller for as long as the homes stay silent.
 			return result{kind: refused, reason: withheld, retryAfter: silentHomeRetry}
 		}
 	}
-	v.plan, v.alone = plan, said.alone
-	v.logPlaced(a, plan)
-	v.began(a, plan, said.alone)
+	h.plan, h.selfPlaced = plan, outcome.noHome
+	h.logPlaced(a, plan)
+	h.startAttempt(a, plan, outcome.noHome)
 	report := schedule.Report{ID: a.ID}
-	v.steps, v.stepTime = 0, 0
-	res := v.carryOut(ctx, a, plan)
+	h.steps, h.stepTime = 0, 0
+	res := h.execute(ctx, a, plan)
 	report.Finished = res.kind == delivered
 	if !isWithheld(res.reason) {
 		report.Failed = res.endpoint
@@ -305,58 +308,61 @@
 	report.Answered = res.answered
 	report.Full = res.full
 	report.Running = res.kind == failed && res.endpoint != ""
-	report.Steps, report.StepTime = v.steps, v.stepTime
-	v.over(report)
+	report.Steps, report.StepTime = h.steps, h.stepTime
+	h.endAttempt(report)
 	if res.kind != delivered {
-		v.logFailed(a, res)
+		h.logFailed(a, res)
 	}
 	return res
 }
 
-func (v *run) began(a schedule.Ask, plan lifecycle.Plan, alone bool) {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
-	v.running = !alone
-	v.adopted = schedule.Adopted{Ask: a, Plan: plan}
+// startAttempt records the placed attempt, so that rehome can hand it to a new home.
+func (h *handler) startAttempt(a schedule.Ask, plan lifecycle.Plan, selfPlaced bool) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.running = !selfPlaced
+	h.adopted = schedule.Adopted{Ask: a, Plan: plan}
 }
 
-func (v *run) over(r schedule.Report) {
-	v.mutex.Lock()
-	running := v.running
-	v.running = false
-	v.mutex.Unlock()
+// endAttempt reports the end of the attempt to its home, unless no home placed it.
+func (h *handler) endAttempt(r schedule.Report) {
+	h.mutex.Lock()
+	running := h.running
+	h.running = false
+	h.mutex.Unlock()
 	if running {
-		v.tell(r)
+		h.notifyHome(r)
 	}
 }
 
-func (v *run) question() schedule.Ask {
+// newAsk returns the ask for the current attempt.
+func (h *handler) newAsk() schedule.Ask {
 	a := schedule.Ask{
-		ID:       lifecycle.AttemptID{Request: v.id, Number: v.attempt},
-		Box:      v.r.cfg.Box,
-		Account:  v.accountName(),
-		Priority: -v.priority(),
-		Resume:   v.begun || v.q.LastEvent != "",
-		Avoid:    slices.Clone(v.avoid),
+		ID:       lifecycle.AttemptID{Request: h.id, Number: h.attempt},
+		Box:      h.relay.cfg.Box,
+		Account:  h.accountName(),
+		Priority: -h.priority(),
+		Resume:   h.headSent || h.request.LastEvent != "",
+		Avoid:    slices.Clone(h.avoid),
 	}
-	a.Avoid = append(a.Avoid, v.barred()...)
-	a.Patience = v.patience()
-	a.Late = v.late
-	a.GiveUp = v.giveUp()
-	a.Spill = len(v.refusals) > 0 && !v.last
-	a.Travel = v.travel(v.group)
-	if v.service.Engine == nil {
-		a.Deadline = v.deadline.Sub(v.q.Arrived)
-		if target := v.route.Target(); target > 0 {
+	a.Avoid = append(a.Avoid, h.forbiddenEndpoints()...)
+	a.Patience = h.maxRetryAfter()
+	a.Late = h.late
+	a.GiveUp = h.callerPatience()
+	a.Spill = len(h.refusals) > 0 && !h.lastAsk
+	a.Travel = h.roundTrip(h.group)
+	if h.service.Engine == nil {
+		a.Deadline = h.deadline.Sub(h.request.Arrived)
+		if target := h.route.Target(); target > 0 {
 			a.Deadline = min(a.Deadline, target)
 		}
 		return a
 	}
-	a.Kept = v.keptBy()
+	a.Kept = h.reusableEngine()
 	a.Resume = a.Resume || a.Kept != ""
-	a.PromptTokens = v.q.Prompt.Tokens
-	a.OutputTokens = v.q.Prompt.Output
-	if hint := v.q.Prompt.Hint; hint > 0 && (a.OutputTokens == 0 || hint < a.OutputTokens) {
+	a.PromptTokens = h.request.Prompt.Tokens
+	a.OutputTokens = h.request.Prompt.Output
+	if hint := h.request.Prompt.Hint; hint > 0 && (a.OutputTokens == 0 || hint < a.OutputTokens) {
 		a.OutputTokens = hint
 	}
 	return a
--- a/coordination/relay/silent_test.go
+++ b/coordination/relay/silent_test.go
@@ -15,10 +15,9 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// rankedHomes are the homes of a group in rank. Those named in grants answer, the
-// others are silent.
+// rankedHomes are the boxes to ask for a group, in rank order. Only the box in grants answers.
 type rankedHomes struct {
-	places
+	groupsWithoutHomes
 	r      *Relay
 	homes  []string
 	grants string
@@ -33,30 +32,30 @@
 	return ring.Accepted
 }
 
-// TestSilentHomes has the boxes of a lost zone be homes: a question goes on to the next
-// box in rank, long before the loss has come round.
+// TestSilentHomes checks that an ask moves on to the next box in rank when homes are silent, as
+// after the loss of a zone, long before the boxes have agreed on the loss.
 func TestSilentHomes(t *testing.T) {
 	cases := map[string]struct {
 		grants string
 		alone  bool
 		within time.Duration
 	}{
-		"the home answers":            {grants: "home"},
-		"the home is silent":          {grants: "second", within: firstWord},
-		"the second is silent too":    {grants: "third", within: 2 * firstWord},
-		"all that are asked are lost": {alone: true, within: 3 * firstWord},
+		"the home answers":             {grants: "home"},
+		"the home is silent":           {grants: "second", within: homeTimeout},
+		"the second box is silent too": {grants: "third", within: 2 * homeTimeout},
+		"all boxes are silent":         {alone: true, within: 3 * homeTimeout},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v, r := bound(byZone, nil, nil)
-				r.cfg.Homes = &rankedHomes{places: byZone, r: r, homes: []string{"home", "second", "third"}, grants: c.grants}
-				r.runs[v.id] = v
-				v.setGroup("s/n1")
+				h, r := newBoundHandler(byZone, nil, nil)
+				r.cfg.Homes = &rankedHomes{groupsWithoutHomes: byZone, r: r, homes: []string{"home", "second", "third"}, grants: c.grants}
+				r.runs[h.id] = h
+				h.setGroup("s/n1")
 				begin := time.Now()
-				said := v.ask(context.Background(), v.question())
-				if said.alone != c.alone || said.refused {
-					t.Errorf("said %+v", said)
+				outcome := h.ask(context.Background(), h.newAsk())
+				if outcome.noHome != c.alone || outcome.refused {
+					t.Errorf("outcome %+v", outcome)
 				}
 				if took := time.Since(begin); took != c.within {
 					t.Errorf("took %v, want %v", took, c.within)
--- a/coordination/relay/slow.go
+++ b/coordination/relay/slow.go
@@ -9,76 +9,77 @@
 )
 
 const (
-	// leastHoldUp is how long a caller has to keep an endpoint from writing for it to be
-	// what the endpoint ends an answer for.
-	leastHoldUp = time.Second
-	// caughtUp is how long a read waits where the endpoint has sent nothing more: what it
-	// sent while it was held up comes at once.
-	caughtUp = 20 * time.Millisecond
-	// heldUpAfter is how long after it was held up an endpoint's end is seen at the latest.
-	heldUpAfter = 5 * time.Second
+	// minCallerStall is how long a write to the caller must block before the endpoint may have
+	// aborted its answer because of it.
+	minCallerStall = time.Second
+	// caughtUpRead is how long a read blocks if the endpoint has nothing buffered: what it sent
+	// during the stall is read without delay.
+	caughtUpRead = 20 * time.Millisecond
+	// stallBreakWindow is how long after a stall a broken answer is still attributed to it.
+	stallBreakWindow = 5 * time.Second
 )
 
-// holdUp tells an endpoint that ends an answer since its caller did not read it from one that
-// has ended itself.
-type holdUp struct {
-	// since is when the caller last read again; zero is that it holds nothing up.
-	since time.Time
+// callerStall distinguishes an endpoint that aborts an answer because the caller did not read
+// it from an endpoint that failed by itself.
+type callerStall struct {
+	// endedAt is when the caller resumed reading after the latest stall; zero if the endpoint
+	// has been caught up with since.
+	endedAt time.Time
 }
 
-// wrote takes in how long a write to the caller took.
-func (p *holdUp) wrote(now time.Time, took time.Duration) {
-	if took >= leastHoldUp {
-		p.since = now
+// noteWrite records how long a write to the caller took.
+func (s *callerStall) noteWrite(now time.Time, took time.Duration) {
+	if took >= minCallerStall {
+		s.endedAt = now
 	}
 }
 
-// read takes in how long a read from the endpoint took that gave something.
-func (p *holdUp) read(took time.Duration) {
-	if took >= caughtUp {
-		p.since = time.Time{}
+// noteRead records how long a read from the endpoint that returned data took.
+func (s *callerStall) noteRead(took time.Duration) {
+	if took >= caughtUpRead {
+		s.endedAt = time.Time{}
 	}
 }
 
-// lasts says whether an answer that breaks off now does so since it was held up.
-func (p *holdUp) lasts(now time.Time) bool {
-	return !p.since.IsZero() && now.Sub(p.since) < heldUpAfter
+// explainsBreak reports whether an answer that breaks off now does so because of the stall.
+func (s *callerStall) explainsBreak(now time.Time) bool {
+	return !s.endedAt.IsZero() && now.Sub(s.endedAt) < stallBreakWindow
 }
 
-// write passes a piece on, and notes how long the caller held it up.
-func (v *run) write(p []byte) error {
-	begin := v.r.cfg.Now()
-	err := v.c.Write(p)
-	now := v.r.cfg.Now()
-	v.heldUp.wrote(now, now.Sub(begin))
+// write sends data to the caller and records a stall.
+func (h *handler) write(p []byte) error {
+	begin := h.relay.cfg.Now()
+	err := h.caller.Write(p)
+	now := h.relay.cfg.Now()
+	h.stall.noteWrite(now, now.Sub(begin))
 	return err
 }
 
-// read reads on in an answer, and notes whether the endpoint has been caught up with.
-func (v *run) read(a *Answer, buffer []byte) (int, error) {
-	begin := v.r.cfg.Now()
+// read reads from an answer and records whether the endpoint has been caught up with.
+func (h *handler) read(a *Answer, buffer []byte) (int, error) {
+	begin := h.relay.cfg.Now()
 	n, err := a.Body.Read(buffer)
 	if n > 0 {
-		v.heldUp.read(v.r.cfg.Now().Sub(begin))
+		h.stall.noteRead(h.relay.cfg.Now().Sub(begin))
 	}
 	return n, err
 }
 
-// callerLeft ends a request whose caller has gone, or does not read.
-func (v *run) callerLeft(err error) result {
+// callerFailed ends a request whose caller has disconnected or does not read.
+func (h *handler) callerFailed(err error) result {
 	if errors.Is(err, ErrSlowCaller) {
-		v.ended("caller_slow", "unread")
+		h.recordEnd("caller_slow", "unread")
 	} else {
-		v.ended("caller_gone", "write")
+		h.recordEnd("caller_gone", "write")
 	}
-	v.c.Break()
+	h.caller.Break()
 	return result{}
 }
 
-// gaveUpWaiting ends an answer that its endpoint broke off while the caller did not read: no
-// fault of the endpoint's, and another one would fare no better.
-func (v *run) gaveUpWaiting() result {
-	v.ended("caller_slow", "endpoint_cut")
-	v.c.Break()
+// endStalled ends an answer that its endpoint aborted because the caller did not read. The
+// endpoint is not at fault, and another one would do the same.
+func (h *handler) endStalled() result {
+	h.recordEnd("caller_slow", "endpoint_cut")
+	h.caller.Break()
 	return result{}
 }
--- a/coordination/relay/slow_test.go
+++ b/coordination/relay/slow_test.go
@@ -22,46 +22,46 @@
 		after time.Duration
 		want  bool
 	}{
-		"nobody waited":                               {[]step{{instant, caughtUp}, {instant, instant}}, 0, false},
-		"the caller did not read, then the end":       {[]step{{leastHoldUp, instant}}, 0, true},
-		"what had come meanwhile is read first":       {[]step{{leastHoldUp, instant}, {instant, instant}}, 0, true},
-		"the endpoint had gone on before its end":     {[]step{{leastHoldUp, instant}, {instant, caughtUp}}, 0, false},
-		"long after the caller had read on":           {[]step{{leastHoldUp, instant}}, heldUpAfter, false},
-		"held up, gone on, and held up a second time": {[]step{{leastHoldUp, caughtUp}, {leastHoldUp, instant}}, 0, true},
+		"no stall":                               {[]step{{instant, caughtUpRead}, {instant, instant}}, 0, false},
+		"break after a stall":                    {[]step{{minCallerStall, instant}}, 0, true},
+		"buffered data is read before the break": {[]step{{minCallerStall, instant}, {instant, instant}}, 0, true},
+		"endpoint resumed before the break":      {[]step{{minCallerStall, instant}, {instant, caughtUpRead}}, 0, false},
+		"long after the stall":                   {[]step{{minCallerStall, instant}}, stallBreakWindow, false},
+		"second stall after resuming":            {[]step{{minCallerStall, caughtUpRead}, {minCallerStall, instant}}, 0, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			var p holdUp
+			var stall callerStall
 			for _, s := range c.steps {
 				now = now.Add(s.write)
-				p.wrote(now, s.write)
+				stall.noteWrite(now, s.write)
 				now = now.Add(s.read)
-				p.read(s.read)
+				stall.noteRead(s.read)
 			}
-			if got := p.lasts(now.Add(c.after)); got != c.want {
-				t.Fatalf("held up: %v", got)
+			if got := stall.explainsBreak(now.Add(c.after)); got != c.want {
+				t.Fatalf("explains the break: %v", got)
 			}
 		})
 	}
 }
 
 func TestPartial(t *testing.T) {
-	budget := held.New(held.Config{Bytes: 3 * freeRoom, Log: log.Discard()})
-	p := partial{hold: budget.Open(held.Answer, "", nil)}
+	budget := held.New(held.Config{Bytes: 3 * unreservedBytes, Log: log.Discard()})
+	p := partialEvent{hold: budget.Open(held.Answer, "", nil)}
 	piece := bytes.Repeat([]byte("e"), pieceSize)
 	pieces := 0
 	for p.add(piece) {
 		pieces++
 	}
-	if want := 4 * freeRoom / pieceSize; pieces != want {
-		t.Fatalf("%d pieces were kept, want %d", pieces, want)
+	if want := 4 * unreservedBytes / pieceSize; pieces != want {
+		t.Fatalf("%d pieces were buffered, want %d", pieces, want)
 	}
-	if used := budget.Status().Used; used != 3*freeRoom {
-		t.Fatalf("%d bytes held", used)
+	if used := budget.Status().Used; used != 3*unreservedBytes {
+		t.Fatalf("%d bytes reserved", used)
 	}
-	p.drop(len(p.data) - 1)
+	p.consume(len(p.data) - 1)
 	if used := budget.Status().Used; used != 0 || len(p.data) != 1 {
-		t.Fatalf("%d bytes held, %d kept", used, len(p.data))
+		t.Fatalf("%d bytes reserved, %d buffered", used, len(p.data))
 	}
 }
--- a/coordination/relay/types.go
+++ b/coordination/relay/types.go
@@ -13,59 +13,59 @@
 	"runridge.example/runridge/state/pace"
 )
 
-// Field is one header.
+// Field is one HTTP header field.
 type Field struct{ Name, Value string }
 
-// Endpoint is one start of an endpoint of a routed service.
+// Endpoint is one incarnation of an endpoint of a routed service.
 type Endpoint struct {
 	Service string
 	ID      string
 	Address string
-	// Born is the Unix millisecond of its start; 0 is not known.
+	// Born is the start time in Unix milliseconds; 0 if unknown.
 	Born int64
 }
 
-// Prompt is what a caller says of a model request.
+// Prompt holds the sizes that a caller states for a model request.
 type Prompt struct {
-	// Tokens is the prompt's length and Output the most that is generated.
+	// Tokens is the length of the prompt and Output the maximum number of generated tokens.
 	Tokens, Output int
-	// Hint is the caller's guess of the output; 0 is none.
+	// Hint is the caller's estimate of the output length in tokens; 0 if none was given.
 	Hint int
 }
 
-// Credential is what a caller shows for itself: the digest of its key. The key
-// itself ends where the request was read.
+// Credential identifies the caller by the digest of its API key. The key itself is not kept
+// after the request has been read.
 type Credential struct {
-	// Valid says that the caller showed one key in its proper form.
+	// Valid reports whether the caller sent exactly one well-formed key.
 	Valid bool
 	Key   account.Digest
-	// Opaque are the caller's fields as they came. They are passed on only by a
-	// table that never had accounts, where they belong to the services.
+	// Opaque holds the caller's credential headers unchanged. They are forwarded only if no
+	// table of this process ever had accounts, because then they belong to the services.
 	Opaque []Field
 }
 
-// Request is one opaque request as it came from a caller.
+// Request is an opaque request as received from a caller.
 type Request struct {
-	// ID is the caller's own id of this attempt.
+	// ID is the caller's own ID of this attempt.
 	ID string
-	// Host, Path and Target are those of the request line; Target has the
-	// query too.
+	// Host, Path and Target come from the request line; Target includes the query.
 	Host, Path, Target string
 	Method             string
 	Header             []Field
 	Credential         Credential
 	Body               []byte
-	// HasBody says that the request had a body, if an empty one.
+	// HasBody reports whether the request had a body, even an empty one.
 	HasBody bool
 	Prompt  Prompt
-	// Wait is how long the caller will wait from its arrival; 0 is not said.
+	// Wait is how long the caller waits for the answer, counted from Arrived; 0 if not stated.
 	Wait time.Duration
-	// LastEvent is the event after which a stream goes on; empty is its start.
+	// LastEvent is the ID of the event after which a stream resumes; empty starts from the
+	// beginning.
 	LastEvent string
 	Arrived   time.Time
 }
 
-// Call is one order to an endpoint.
+// Call is one request to an endpoint.
 type Call struct {
 	Endpoint  Endpoint
 	Method    string
@@ -75,53 +75,54 @@
 	Header    []Field
 	Body      []byte
 	HasBody   bool
-	// Left is how long the endpoint may work; 0 is no bound.
+	// Left is the time that the endpoint may spend on the call; 0 means no limit.
 	Left time.Duration
-	// Ranked says that Priority is sent, 0 the most urgent.
+	// Ranked reports whether Priority is sent; priority 0 is the most urgent.
 	Ranked   bool
 	Priority int
-	// Prefill asks for the prompt's KV cache alone.
+	// Prefill requests only the KV cache of the prompt.
 	Prefill bool
-	// Source is where the engine fetches the prompt's KV cache.
+	// Source is the address from which the engine fetches the KV cache of the prompt.
 	Source    string
 	LastEvent string
-	// Account is the client account of the request; empty is none.
+	// Account is the client account of the request; empty if it has none.
 	Account string
-	// Control marks a call that is no request of a caller's and has no id.
+	// Control marks a call that the box makes on its own behalf, without a caller's request or
+	// request ID.
 	Control bool
 }
 
-// Answer is an endpoint's answer whose head has come.
+// Answer is an endpoint's answer after its header has been received.
 type Answer struct {
 	Status int
 	Header []Field
-	// Length of the body, -1 if it is not known.
+	// Length is the length of the body in bytes; -1 if unknown.
 	Length int64
 	Body   io.ReadCloser
-	// Signed says that the endpoint stands for the answer.
+	// Signed reports whether the answer has the header that marks it as written by the
+	// endpoint. Other answers may come from a proxy in between.
 	Signed bool
-	// NotRun is the endpoint's word that it did not run the request; OtherHere
-	// that another one has its address.
+	// NotRun reports that the endpoint states it did not run the request, OtherHere that
+	// another endpoint now has this address.
 	NotRun, OtherHere bool
-	// Notice is what the endpoint says of itself with it.
+	// Notice is the notice that came with the answer.
 	Notice pace.Notice
-	// Encoded marks a body that is not as the endpoint made it.
+	// Encoded reports whether the body has a content encoding, so that it is not as the
+	// endpoint wrote it.
 	Encoded bool
 }
 
-// Success says whether the answer is an endpoint's success.
+// Success reports whether the status is 2xx.
 func (a *Answer) Success() bool { return a.Status/statusClass == successClass }
 
 const (
 	statusClass  = 100
 	successClass = 2
-	// maxDiscard bounds the body that is read so that a connection can be
-	// used again, in bytes.
+	// maxDiscard limits how much of a body is read to make its connection reusable, in bytes.
 	maxDiscard = 64 << 10
 )
 
-// Discard reads the rest of a short body, so that its connection can be used
-// again.
+// Discard reads the rest of a short body and closes it, so that the connection can be reused.
 func (a *Answer) Discard() error {
 	_, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxDiscard))
 	if err != nil {
@@ -130,39 +131,40 @@
 	return a.Body.Close()
 }
 
-// Endpoints makes exchanges with endpoints. Errors say what they prove, as
-// those of adapter.Engine do.
+// Endpoints performs exchanges with endpoints. Its errors state whether the request may have
+// run, like those of adapter.Engine.
 type Endpoints interface {
-	// Send sends a request once and returns when its answer's head is here.
+	// Send sends a request once and returns when the header of the answer has been received.
 	Send(ctx context.Context, call Call) (*Answer, error)
-	// Free frees a prefill result that an engine keeps.
+	// Free releases a prefill result that an engine keeps.
 	Free(ctx context.Context, e Endpoint, handle string) error
 }
 
-// ErrSlowCaller ends an answer whose caller does not read it in time.
+// ErrSlowCaller is returned when the caller does not read its answer in time.
 var ErrSlowCaller = errors.New("the caller does not read its answer")
 
-// Caller takes the answer to one request. Its errors are ErrSlowCaller or tell that the
-// caller has gone.
+// Caller receives the answer to one request. Its methods return ErrSlowCaller, or another error
+// if the caller has disconnected.
 type Caller interface {
-	// Head begins an answer; length -1 is not known.
+	// Head starts an answer; length is -1 if unknown.
 	Head(status int, header []Field, length int64) error
-	// Write passes a piece on at once.
+	// Write sends data to the caller without buffering.
 	Write(p []byte) error
-	// End ends a whole answer.
+	// End completes an answer.
 	End() error
-	// Break ends an answer so that it cannot be taken for a whole one.
+	// Break aborts an answer in a way that the caller cannot mistake for completion.
 	Break()
-	// Refuse answers in the box's own name.
+	// Refuse answers on behalf of the box itself.
 	Refuse(r Refusal)
 }
 
-// Refusal is an answer in the box's own name.
+// Refusal is an answer on behalf of the box itself.
 type Refusal struct {
 	Status int
 	Reason string
-	// Challenge says that the caller has to show a key.
+	// Challenge reports whether the caller has to authenticate with a key.
 	Challenge bool
-	// RetryAfter is when to come again, for a request that has not run.
+	// RetryAfter is how long the caller should wait before it retries a request that has not
+	// run.
 	RetryAfter time.Duration
 }
--- a/coordination/relay/where.go
+++ b/coordination/relay/where.go
@@ -14,163 +14,164 @@
 	"runridge.example/runridge/state/locality"
 )
 
-// Reasons for which a request does not go to an endpoint, or to none.
+// Reasons why a request is not sent to an endpoint, or to any.
 const (
 	reasonLeft      = "endpoint_left"
 	reasonDrained   = "zone_drained"
 	reasonForbidden = "region_not_allowed"
 )
 
-// isWithheld says whether a request that does not go to an endpoint for a reason is kept from
-// it by this box alone: the endpoint serves others, and has not failed.
+// isWithheld reports whether the reason is one for which this box holds back a request from an
+// endpoint that has not failed and serves other requests.
 func isWithheld(reason string) bool {
 	return reason == notice.ReasonLeaving || reason == notice.ReasonResting || reason == reasonNotCounted
 }
 
-// bind looks up in which regions the request may be served: both its route and its
-// account bind, by the table in force.
-func (v *run) bind() {
-	route := v.route
-	index, _ := v.r.current()
-	if now, ok := index.Match(v.q.Host, v.q.Path); ok {
+// resolveRegions sets the regions in which the request may be served, as permitted by its route
+// and its account in the table in force.
+func (h *handler) resolveRegions() {
+	route := h.route
+	index, _ := h.relay.current()
+	if now, ok := index.Match(h.request.Host, h.request.Path); ok {
 		route = now
 	}
 	var account []string
-	if v.account != nil {
-		account = v.account.AllowedRegions
+	if h.account != nil {
+		account = h.account.AllowedRegions
 	}
-	v.allowed = locality.AllowedBy(route.AllowedRegions, account)
+	h.allowed = locality.AllowedBy(route.AllowedRegions, account)
 }
 
-// mayGo says whether the request may go to the endpoints of an availability zone. All
-// that chooses an endpoint, or sends to one, asks it.
-func (v *run) mayGo(zone string) bool {
-	return v.allowed.Permits(v.r.cfg.Regions.Region(zone))
+// zoneAllowed reports whether the request may be sent to endpoints in an availability zone.
+// Every choice of an endpoint and every send checks it.
+func (h *handler) zoneAllowed(zone string) bool {
+	return h.allowed.Permits(h.relay.cfg.Regions.Region(zone))
 }
 
-// fits says whether an endpoint may get the request now, or why not.
-func (v *run) fits(w directory.Status) (reason string, ok bool) {
+// checkEligible reports whether an endpoint may get the request now, and the reason if not.
+func (h *handler) checkEligible(w directory.Status) (reason string, ok bool) {
 	switch {
-	case !v.mayGo(w.Zone):
+	case !h.zoneAllowed(w.Zone):
 		return reasonForbidden, false
 	case w.ZoneDrained:
 		return reasonDrained, false
 	case !w.Usable():
 		return reasonLeft, false
 	}
-	reason = v.r.cfg.Notices.Standing(w.ID).Reason()
+	reason = h.relay.cfg.Notices.Standing(w.ID).Reason()
 	return reason, reason == ""
 }
 
-// endpoint finds an endpoint that may get the request now; without one it says why.
-func (v *run) endpoint(id string) (Endpoint, string) {
-	w, known := v.r.cfg.Directory.Directory().Status(id)
+// endpoint returns an endpoint if it may get the request now, or else the reason why not.
+func (h *handler) endpoint(id string) (Endpoint, string) {
+	w, known := h.relay.cfg.Directory.Directory().Status(id)
 	if !known {
 		return Endpoint{}, reasonLeft
 	}
-	if reason, ok := v.fits(w); !ok {
+	if reason, ok := h.checkEligible(w); !ok {
 		return Endpoint{}, reason
 	}
-	return Endpoint{Service: v.service.Name, ID: w.ID, Address: w.Address, Born: w.Born}, ""
+	return Endpoint{Service: h.service.Name, ID: w.ID, Address: w.Address, Born: w.Born}, ""
 }
 
-// placeAlone chooses endpoints without a home: any that the request may go to and has
-// not met. One that is cold or names a limit is left out, since nobody counts what it gets.
-// Withheld is why endpoints were left out that serve others, where there is no other.
-func (v *run) placeAlone() (plan lifecycle.Plan, withheld string) {
-	var fit []string
-	for _, w := range v.r.cfg.Directory.Directory().Statuses(v.service.Name) {
-		reason, ok := v.fits(w)
+// placeWithoutHome chooses any endpoint that the request may be sent to and has not tried.
+// Endpoints that are cold or announce a limit are left out, since no home counts what they get.
+// If no endpoint is left, withheld is the reason why endpoints that serve other requests were
+// left out.
+func (h *handler) placeWithoutHome() (plan lifecycle.Plan, withheld string) {
+	var eligible []string
+	for _, w := range h.relay.cfg.Directory.Directory().Statuses(h.service.Name) {
+		reason, ok := h.checkEligible(w)
 		switch {
-		case w.Stage == directory.StagePrefill, slices.Contains(v.avoid, w.ID):
+		case w.Stage == directory.StagePrefill, slices.Contains(h.avoid, w.ID):
 		case !ok && isWithheld(reason):
 			withheld = reason
 		case !ok:
-		case v.bounded(w.ID):
+		case h.isPaced(w.ID):
 			withheld = reasonNotCounted
 		default:
-			fit = append(fit, w.ID)
+			eligible = append(eligible, w.ID)
 		}
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		return lifecycle.Plan{}, withheld
 	}
-	return lifecycle.Plan{Mode: lifecycle.Recompute, Decode: fit[int(v.id.Sequence)%len(fit)]}, ""
+	return lifecycle.Plan{Mode: lifecycle.Recompute, Decode: eligible[int(h.id.Sequence)%len(eligible)]}, ""
 }
 
-// mayAsk says whether a group may have an endpoint for the request. Closed says whether any
-// endpoint of its service is closed to this box.
-func (v *run) mayAsk(known directory.Directory, p group.Place, closed bool) bool {
-	if p.Zone != "" && (!v.mayGo(p.Zone) || known.ZoneDrained(p.Zone)) {
+// groupEligible reports whether a group may have an endpoint for the request. closed reports
+// whether an endpoint of the service accepts nothing from this box.
+func (h *handler) groupEligible(known directory.Directory, p group.Place, closed bool) bool {
+	if p.Zone != "" && (!h.zoneAllowed(p.Zone) || known.ZoneDrained(p.Zone)) {
 		return false
 	}
-	if !closed && (p.Zone != "" || !v.allowed.Bound()) {
+	if !closed && (p.Zone != "" || !h.allowed.Bound()) {
 		return true
 	}
-	return slices.ContainsFunc(v.endpointsOf(known, p), func(w directory.Status) bool {
-		_, ok := v.fits(w)
+	return slices.ContainsFunc(h.endpointsOf(known, p), func(w directory.Status) bool {
+		_, ok := h.checkEligible(w)
 		return ok
 	})
 }
 
-// anyClosed says whether an endpoint of the request's service gets nothing by what it told
-// this box.
-func (v *run) anyClosed(known directory.Directory) bool {
-	return slices.ContainsFunc(v.r.cfg.Notices.Closed(), func(c notice.Closed) bool {
+// anyClosed reports whether an endpoint of the request's service accepts nothing from this box,
+// according to its notices.
+func (h *handler) anyClosed(known directory.Directory) bool {
+	return slices.ContainsFunc(h.relay.cfg.Notices.Closed(), func(c notice.Closed) bool {
 		w, found := known.Status(c.Endpoint)
-		return found && w.Service == v.service.Name
+		return found && w.Service == h.service.Name
 	})
 }
 
-// restLeft is after how long the first endpoint that rests may get the request; 0 is that
-// none rests that could serve it.
-func (v *run) restLeft() time.Duration {
-	known := v.r.cfg.Directory.Directory()
-	return v.r.cfg.Notices.LeastRest(func(endpoint string) bool {
+// remainingRest returns how long until the first resting endpoint may get the request; 0 if no
+// endpoint that could serve it rests.
+func (h *handler) remainingRest() time.Duration {
+	known := h.relay.cfg.Directory.Directory()
+	return h.relay.cfg.Notices.LeastRest(func(endpoint string) bool {
 		w, found := known.Status(endpoint)
-		return found && w.Service == v.service.Name && w.Stage != directory.StagePrefill && w.Usable() && v.mayGo(w.Zone)
+		return found && w.Service == h.service.Name && w.Stage != directory.StagePrefill && w.Usable() && h.zoneAllowed(w.Zone)
 	})
 }
 
-// endpointsOf lists the endpoints of a group. Where it is not known in which zone or region
-// they are, they may be any of the service.
-func (v *run) endpointsOf(known directory.Directory, p group.Place) []directory.Status {
-	return slices.DeleteFunc(known.Statuses(v.service.Name), func(w directory.Status) bool {
-		return p.Zone != "" && w.Zone != p.Zone || p.Region != "" && v.r.cfg.Regions.Of(w.Zone) != p.Region
+// endpointsOf returns the endpoints of a group; all of the service if the zone and region of
+// the group are unknown.
+func (h *handler) endpointsOf(known directory.Directory, p group.Place) []directory.Status {
+	return slices.DeleteFunc(known.Statuses(h.service.Name), func(w directory.Status) bool {
+		return p.Zone != "" && w.Zone != p.Zone || p.Region != "" && h.relay.cfg.Regions.Of(w.Zone) != p.Region
 	})
 }
 
-// barred are the endpoints of the request's group that it must not go to for their
-// region's sake: a group whose region is not known may have them in several, and one
-// of a fleet in one region some in zones that no region names.
-func (v *run) barred() []string {
-	p, ok := v.place(v.group)
-	if !ok || p.Zone != "" || !v.allowed.Bound() {
+// forbiddenEndpoints returns the endpoints of the request's group that are in regions where it
+// may not be served. A group without a known region may have endpoints in several regions, and
+// a group of a service in one region may have some in zones that belong to no region.
+func (h *handler) forbiddenEndpoints() []string {
+	p, ok := h.place(h.group)
+	if !ok || p.Zone != "" || !h.allowed.Bound() {
 		return nil
 	}
 	var out []string
-	for _, w := range v.endpointsOf(v.r.cfg.Directory.Directory(), p) {
-		if w.Usable() && !v.mayGo(w.Zone) {
+	for _, w := range h.endpointsOf(h.relay.cfg.Directory.Directory(), p) {
+		if w.Usable() && !h.zoneAllowed(w.Zone) {
 			out = append(out, w.ID)
 		}
 	}
 	return out
 }
 
-// noGroup is why no group is left for the request.
-func (v *run) noGroup() string {
-	known := v.r.cfg.Directory.Directory()
+// noGroupReason returns why no group is left for the request.
+func (h *handler) noGroupReason() string {
+	known := h.relay.cfg.Directory.Directory()
 	permitted := func(p group.Place) bool {
 		if p.Zone != "" {
-			return v.mayGo(p.Zone)
+			return h.zoneAllowed(p.Zone)
 		}
-		return slices.ContainsFunc(v.endpointsOf(known, p), func(w directory.Status) bool { return v.mayGo(w.Zone) })
+		return slices.ContainsFunc(h.endpointsOf(known, p), func(w directory.Status) bool { return h.zoneAllowed(w.Zone) })
 	}
-	if v.allowed.Bound() && !slices.ContainsFunc(v.r.cfg.Homes.PlacesOf(v.service.Name), permitted) {
+	if h.allowed.Bound() && !slices.ContainsFunc(h.relay.cfg.Homes.PlacesOf(h.service.Name), permitted) {
 		return reasonForbidden
 	}
-	for _, w := range known.Statuses(v.service.Name) {
-		if reason, ok := v.fits(w); !ok && isWithheld(reason) {
+	for _, w := range known.Statuses(h.service.Name) {
+		if reason, ok := h.checkEligible(w); !ok && isWithheld(reason) {
 			return reason
 		}
 	}
--- a/tests/mutants/accounts.go
+++ b/tests/mutants/accounts.go
@@ -49,7 +49,7 @@
 var accountMutants = []mutant{
 	{
 		name: "key_passed_on", file: sendFile, pkg: routedTests, args: only("TestKeysStayInside"),
-		old: "if keyed || len(v.q.Credential.Opaque) == 0 {", fault: "if keyed && false || len(v.q.Credential.Opaque) == 0 {",
+		old: "if keyed || len(h.request.Credential.Opaque) == 0 {", fault: "if keyed && false || len(h.request.Credential.Opaque) == 0 {",
 	},
 	{
 		name: "account_of_callers", file: "protocol/relayapi/relayapi.go", pkg: routedTests, args: only("TestKeys"),
@@ -57,7 +57,7 @@
 	},
 	{
 		name: "key_not_checked_again", file: relayAccountFile, pkg: routedTests, args: only("TestKeyTakenAway"),
-		old: "if a == nil && !free {\n		return true", fault: "if a == nil && !free {\n		return false",
+		old: "if a == nil && !anonymous {\n		return true", fault: "if a == nil && !anonymous {\n		return false",
 	},
 	{
 		name: "unknown_key_refused_for_good", file: "coordination/follow/confirm.go", pkg: routedTests, args: only("TestUnknownKeyOfABoxThatIsBehind"),
--- a/tests/mutants/cold.go
+++ b/tests/mutants/cold.go
@@ -96,7 +96,7 @@
 	},
 	{
 		name: "alone_box_sends_to_cold_endpoints", file: "coordination/relay/where.go", pkg: relayTests, args: only("TestAloneLeavesColdEndpointsOut"),
-		old: "case v.bounded(w.ID):", fault: "case false:",
+		old: "case h.isPaced(w.ID):", fault: "case false:",
 	},
 	{
 		name: "late_grant_sent", file: countedFile, pkg: relayTests, args: only("TestSendsToColdEndpoints"),
@@ -104,7 +104,7 @@
 	},
 	{
 		name: "uncounted_request_sent", file: relayPacedFile, pkg: relayTests, args: only("TestSendsToColdEndpoints"),
-		old: "return !v.counted.Decode && !v.bounded(id) ||", fault: "return !v.counted.Decode ||",
+		old: "return !h.counted.Decode && !h.isPaced(id) ||", fault: "return !h.counted.Decode ||",
 	},
 	{
 		name: "frozen_home_goes_on", file: homeColdFile, pkg: homeTests, args: only("TestColdEndpointsOfAHome"),
--- a/tests/mutants/limit.go
+++ b/tests/mutants/limit.go
@@ -49,7 +49,7 @@
 	},
 	{
 		name: "alone_box_sends_beyond_a_limit", file: relayPacedFile, pkg: relayTests, args: only("TestSendsToLimitedEndpoints"),
-		old: " || v.r.cfg.Notices.Limited(id)", fault: "",
+		old: " || h.relay.cfg.Notices.Limited(id)", fault: "",
 	},
 	{
 		name: "limits_not_told_with_a_question", file: homeRouterFile, pkg: homeTests, args: only("TestQuestionsTellLimits"),
--- a/tests/mutants/poison.go
+++ b/tests/mutants/poison.go
@@ -57,6 +57,6 @@
 	},
 	{
 		name: "poison_that_waited_is_sent", file: "coordination/relay/exchange.go", pkg: relayTests, args: only("TestPoisonReachesNoEndpoint"),
-		old: "	case v.suspect().Poisonous():\n		return reasonPoison\n", fault: "",
+		old: "	case h.suspect().Poisonous():\n		return reasonPoison\n", fault: "",
 	},
 }
--- a/tests/mutants/routed.go
+++ b/tests/mutants/routed.go
@@ -36,15 +36,15 @@
 	},
 	{
 		name: "unsafe_runs_again", file: runFile, pkg: routedTests, args: only("TestManners"),
-		old: "if !v.route.Idempotent() || v.runs >= v.route.MaxAttempts {", fault: "if v.runs >= 2 {",
+		old: "if !h.route.Idempotent() || h.runs >= h.route.MaxAttempts {", fault: "if h.runs >= 2 {",
 	},
 	{
 		name: "attempts_without_bound", file: runFile, pkg: routedTests, args: only("TestManners"),
-		old: "if !v.route.Idempotent() || v.runs >= v.route.MaxAttempts {", fault: "if !v.route.Idempotent() {",
+		old: "if !h.route.Idempotent() || h.runs >= h.route.MaxAttempts {", fault: "if !h.route.Idempotent() {",
 	},
 	{
 		name: "ran_and_promised_not_to", file: refusalFile, pkg: routedTests, args: only("TestManners"),
-		old: "	case v.runs > 0:\n", fault: "	case v.runs > 5:\n",
+		old: "	case h.runs > 0:\n", fault: "	case h.runs > 5:\n",
 	},
 	{
 		name: "unsigned_passed_on", file: sendFile, pkg: routedTests, args: only("TestManners"),
@@ -56,7 +56,7 @@
 	},
 	{
 		name: "budget_not_asked", file: sendFile, pkg: routedTests, args: only("TestRetryBudget"),
-		old: "if v.arrivals == 0 || v.paid > 0 {", fault: "if v.arrivals >= 0 || v.paid > 0 {",
+		old: "if h.arrivals == 0 || h.prepaid > 0 {", fault: "if h.arrivals >= 0 || h.prepaid > 0 {",
 	},
 	{
 		name: "unknown_table_says_404", file: runFile, pkg: routedTests, args: only("TestBoxWithoutConfiguration"),
@@ -64,7 +64,7 @@
 	},
 	{
 		name: "cut_stream_looks_whole", file: refusalFile, pkg: routedTests, args: only("TestBrokenStreams"),
-		old: "		v.c.Break()\n	case errors.Is(context.Cause(ctx), context.Canceled):", fault: "		_ = v.c.End()\n	case errors.Is(context.Cause(ctx), context.Canceled):",
+		old: "		h.caller.Break()\n	case errors.Is(context.Cause(ctx), context.Canceled):", fault: "		_ = h.caller.End()\n	case errors.Is(context.Cause(ctx), context.Canceled):",
 	},
 	{
 		name: "half_event_passed_on", file: answerFile, pkg: routedTests, args: only("TestBrokenStreams"),
@@ -72,7 +72,7 @@
 	},
 	{
 		name: "kept_result_not_freed", file: runFile, pkg: routedTests, args: only("TestKeptResults"),
-		old: "	defer v.free()\n", fault: "	defer v.keptBy()\n",
+		old: "	defer h.freeKept()\n", fault: "	defer h.reusableEngine()\n",
 	},
 	{
 		name: "control_call_with_an_id", file: exchange, pkg: routedTests, args: only("TestKeptResults"),
