--- a/coordination/dispatch/ask.go
+++ b/coordination/dispatch/ask.go
@@ -12,187 +12,191 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// grantFrom and refusal carry the attempt that a decision is about, so that a
-// late one for an earlier ask is not taken for this one's.
-type grantFrom struct {
+// grantEvent is a grant. Like refusalEvent it carries the ID of the attempt, so that a late
+// decision on an earlier ask is not applied to the current one.
+type grantEvent struct {
 	lifecycle.Event
 	id lifecycle.AttemptID
-	// home is the box that made the grant.
+	// home is the box that granted the attempt.
 	home  string
 	event lifecycle.Granted
-	// move is the home's estimate for the transfer.
+	// move is the home's estimate of the transfer time.
 	move time.Duration
-	// prefill and decode say for which engine the home has counted the attempt, held how
-	// long the ask was there.
-	prefill, decode bool
-	held            time.Duration
+	// prefillCounted and decodeCounted report for which engines the home has counted the
+	// attempt, and waited is how long the ask waited at the home.
+	prefillCounted, decodeCounted bool
+	waited                        time.Duration
 }
 
-// queuedBy is a home's word that an ask waits there.
-type queuedBy struct {
+// queuedEvent reports that an ask is queued at a home.
+type queuedEvent struct {
 	lifecycle.Event
 	id   lifecycle.AttemptID
 	home string
 }
 
-// slotFrom carries a late decode engine with the estimate for the transfer.
-type slotFrom struct {
+// slotEvent carries a decode engine that was assigned after the grant, with the estimate of the
+// transfer time.
+type slotEvent struct {
 	lifecycle.Event
 	event lifecycle.SlotReady
 	move  time.Duration
-	// counted says that the home has counted the attempt for the engine.
+	// counted reports whether the home has counted the attempt for the engine.
 	counted bool
 }
 
-type refusal struct {
+// refusalEvent is a home's refusal of an ask.
+type refusalEvent struct {
 	lifecycle.Event
 	id    lifecycle.AttemptID
 	event lifecycle.Refused
 }
 
-// ask puts the question for the next attempt to the home of the service's
-// group.
-func (v *driver) ask(e lifecycle.AskHome) {
-	if v.stopPoison() {
+// ask sends the ask for the next attempt to the home of a group of the service.
+func (d *driver) ask(e lifecycle.AskHome) {
+	if d.stopIfPoison() {
 		return
 	}
-	places := v.d.cfg.Homes.PlacesOf(v.request.Service)
-	v.group = home.ChooseGroup(places, home.Origin{Zone: v.request.Zone, Region: v.d.cfg.Region}, v.call.ID.Sequence, v.machine.Attempt, nil)
-	if v.group == "" {
-		v.step(lifecycle.Refused{Reason: lifecycle.ReasonRouteRemoved, RetryAfterMS: noEngineRetryMS})
+	places := d.dispatcher.cfg.Homes.PlacesOf(d.request.Service)
+	d.group = home.ChooseGroup(places, home.Origin{Zone: d.request.Zone, Region: d.dispatcher.cfg.Region}, d.call.ID.Sequence, d.machine.Attempt, nil)
+	if d.group == "" {
+		d.step(lifecycle.Refused{Reason: lifecycle.ReasonRouteRemoved, RetryAfterMS: noEngineRetryMS})
 		return
 	}
-	id := lifecycle.AttemptID{Request: v.call.ID, Number: v.machine.Attempt + 1}
-	v.asked = schedule.Ask{
+	id := lifecycle.AttemptID{Request: d.call.ID, Number: d.machine.Attempt + 1}
+	d.currentAsk = schedule.Ask{
 		ID:           id,
-		Box:          v.d.cfg.Box,
-		Account:      v.request.Account,
-		Priority:     v.request.Priority,
-		PromptTokens: v.request.PromptTokens + e.Emitted,
-		OutputTokens: v.request.OutputTokens - e.Emitted,
-		Deadline:     v.request.Deadline,
+		Box:          d.dispatcher.cfg.Box,
+		Account:      d.request.Account,
+		Priority:     d.request.Priority,
+		PromptTokens: d.request.PromptTokens + e.Emitted,
+		OutputTokens: d.request.OutputTokens - e.Emitted,
+		Deadline:     d.request.Deadline,
 		Resume:       e.Emitted > 0 || e.Kept != "",
 		Avoid:        e.Avoid,
 		Kept:         e.Kept,
 	}
-	v.asked.Marks, v.asked.MarkTokens = v.markTokens()
-	v.report = schedule.Report{ID: id}
-	v.first, v.last = time.Time{}, time.Time{}
-	v.askUntil = time.Now().Add(v.d.cfg.AskFor)
-	v.rank = 0
-	v.askedAt = make(map[string]time.Time)
-	v.sendAsk()
+	d.currentAsk.Marks, d.currentAsk.MarkTokens = d.prefixMarks()
+	d.report = schedule.Report{ID: id}
+	d.attemptFirstAt, d.attemptLastAt = time.Time{}, time.Time{}
+	d.askDeadline = time.Now().Add(d.dispatcher.cfg.AskFor)
+	d.rank = 0
+	d.askedAt = make(map[string]time.Time)
+	d.sendAsk()
 }
 
-// noEngineRetryMS is when to come again to a service that has no engine now.
+// noEngineRetryMS is the retry delay for a service that has no engine now.
 const noEngineRetryMS = 1000
 
-func (v *driver) markTokens() ([]uint64, []int) {
-	hashes := make([]uint64, 0, len(v.marks))
-	tokens := make([]int, 0, len(v.marks))
-	perByte := float64(v.request.PromptTokens) / float64(max(len(v.request.Prompt), 1))
-	for _, m := range v.marks {
+// prefixMarks returns the hashes of the prompt's prefixes and their estimated lengths in tokens.
+func (d *driver) prefixMarks() ([]uint64, []int) {
+	hashes := make([]uint64, 0, len(d.marks))
+	tokens := make([]int, 0, len(d.marks))
+	perByte := float64(d.request.PromptTokens) / float64(max(len(d.request.Prompt), 1))
+	for _, m := range d.marks {
 		hashes = append(hashes, m.Hash)
 		tokens = append(tokens, int(perByte*float64(m.Bytes)))
 	}
 	return hashes, tokens
 }
 
-// sendAsk asks the box at the current rank.
-func (v *driver) sendAsk() {
-	boxes := v.d.cfg.Homes.HomesOf(v.group)
-	v.askTimer.Reset(v.d.cfg.FirstWord)
-	v.queued = false
+// sendAsk sends the ask to the box at the current rank.
+func (d *driver) sendAsk() {
+	boxes := d.dispatcher.cfg.Homes.HomesOf(d.group)
+	d.askTimer.Reset(d.dispatcher.cfg.FirstWord)
+	d.queued = false
 	if len(boxes) == 0 {
 		return
 	}
-	v.home = boxes[v.rank%len(boxes)]
-	v.asked.Waited = time.Since(v.started)
-	if _, again := v.askedAt[v.home]; !again {
-		v.askedAt[v.home] = time.Now()
+	d.home = boxes[d.rank%len(boxes)]
+	d.currentAsk.Waited = time.Since(d.started)
+	if _, again := d.askedAt[d.home]; !again {
+		d.askedAt[d.home] = time.Now()
 	}
-	if v.d.cfg.Homes.Tell(v.home, v.group, v.asked) == ring.Full {
-		v.askTimer.Reset(v.d.cfg.FirstWord / fullPauseShare)
+	if d.dispatcher.cfg.Homes.Tell(d.home, d.group, d.currentAsk) == ring.Full {
+		d.askTimer.Reset(d.dispatcher.cfg.FirstWord / queueFullDivisor)
 	}
 }
 
-// fullPauseShare makes a question that could not be sent come again sooner.
-const fullPauseShare = 8
+// queueFullDivisor shortens FirstWord for an ask that did not fit into the send queue.
+const queueFullDivisor = 8
 
-// askAgain asks once more. A home that said nothing at all may be dead or
-// stand still, so the next in rank is asked: it is a home too for as long as
-// it is asked, careful because it knows little, and the engines' own limits
-// hold whatever the two decide. One that had queued the ask is asked again.
-func (v *driver) askAgain() {
-	if v.machine.Phase != lifecycle.Received {
+// retryAsk sends the ask again, or ends the request if its time for asking is over. If the home
+// did not answer at all, it may have failed or hang, so the next box in rank is asked. That box
+// acts as home for as long as it is asked and grants cautiously because it knows little; the
+// engines enforce their own limits whatever the two boxes decide. A home that has queued the
+// ask is asked again.
+func (d *driver) retryAsk() {
+	if d.machine.Phase != lifecycle.Received {
 		return
 	}
-	if time.Now().After(v.askUntil) {
-		v.step(lifecycle.Refused{Reason: lifecycle.ReasonNoHome, RetryAfterMS: noEngineRetryMS})
+	if time.Now().After(d.askDeadline) {
+		d.step(lifecycle.Refused{Reason: lifecycle.ReasonNoHome, RetryAfterMS: noEngineRetryMS})
 		return
 	}
-	if !v.queued {
-		v.tell(home.Withdrawn{ID: v.asked.ID})
-		v.rank++
+	if !d.queued {
+		d.notifyHome(home.Withdrawn{ID: d.currentAsk.ID})
+		d.rank++
 	}
-	v.sendAsk()
+	d.sendAsk()
 }
 
-func (v *driver) tell(body home.Body) {
-	// A report that cannot be sent is made good by the home's own expiry.
-	_ = v.d.cfg.Homes.Tell(v.home, v.group, body)
+// notifyHome sends a message to the home of the ask or grant.
+func (d *driver) notifyHome(body home.Body) {
+	// A lost report does no harm because the home's own records expire.
+	_ = d.dispatcher.cfg.Homes.Tell(d.home, d.group, body)
 }
 
-// rehome goes over to the group's home if it has changed: a question is asked
-// there, a grant is told there.
-func (v *driver) rehome() {
-	if v.group == "" {
+// rehome moves the request to the new home of its group, if it has changed: a pending ask is
+// sent there, a granted attempt is announced there.
+func (d *driver) rehome() {
+	if d.group == "" {
 		return
 	}
-	rank := v.d.cfg.Homes.HomesOf(v.group)
-	if len(rank) == 0 || rank[0] == v.home {
+	rank := d.dispatcher.cfg.Homes.HomesOf(d.group)
+	if len(rank) == 0 || rank[0] == d.home {
 		return
 	}
-	if v.machine.Phase == lifecycle.Received {
-		v.tell(home.Withdrawn{ID: v.asked.ID})
-		v.rank = 0
-		v.sendAsk()
+	if d.machine.Phase == lifecycle.Received {
+		d.notifyHome(home.Withdrawn{ID: d.currentAsk.ID})
+		d.rank = 0
+		d.sendAsk()
 		return
 	}
 	next := rank[0]
-	v.tell(home.Withdrawn{ID: v.attempt()})
-	v.home = next
-	v.tell(schedule.Adopted{
-		Ask:       v.asked,
-		Plan:      v.machine.Plan,
-		Prefilled: v.machine.Phase > lifecycle.Prefilling,
+	d.notifyHome(home.Withdrawn{ID: d.attempt()})
+	d.home = next
+	d.notifyHome(schedule.Adopted{
+		Ask:       d.currentAsk,
+		Plan:      d.machine.Plan,
+		Prefilled: d.machine.Phase > lifecycle.Prefilling,
 	})
 }
 
-// refuseGrant gives back a second grant for an attempt: two boxes may take
-// themselves for home for a moment. The same home's grant, sent twice, stands.
-func (v *driver) refuseGrant(g grantFrom) {
-	if g.id.Number == v.machine.Attempt && g.home == v.home {
+// returnSecondGrant returns a second grant for an attempt, because two boxes may briefly act as
+// home of a group. A duplicate of the grant from the same home stands.
+func (d *driver) returnSecondGrant(g grantEvent) {
+	if g.id.Number == d.machine.Attempt && g.home == d.home {
 		return
 	}
-	_ = v.d.cfg.Homes.Tell(g.home, v.group, home.Withdrawn{ID: g.id})
+	_ = d.dispatcher.cfg.Homes.Tell(g.home, d.group, home.Withdrawn{ID: g.id})
 }
 
-// takeRefusal ends the request, or asks the group's new home.
-func (v *driver) takeRefusal(r refusal) {
-	if r.id.Number != v.machine.Attempt+1 || v.machine.Phase != lifecycle.Received {
+// handleRefusal ends the request, or asks the new home if the group has moved.
+func (d *driver) handleRefusal(r refusalEvent) {
+	if r.id.Number != d.machine.Attempt+1 || d.machine.Phase != lifecycle.Received {
 		return
 	}
 	if r.event.Reason == lifecycle.ReasonMoved {
-		v.askTimer.Reset(movedPause)
+		d.askTimer.Reset(homeMovedDelay)
 		return
 	}
-	v.askTimer.Stop()
-	if rest := v.d.cfg.Homes.RestOf(v.group); rest > 0 && r.event.Reason == lifecycle.ReasonNoEngine {
+	d.askTimer.Stop()
+	if rest := d.dispatcher.cfg.Homes.RestOf(d.group); rest > 0 && r.event.Reason == lifecycle.ReasonNoEngine {
 		r.event.RetryAfterMS = int(max(rest.Milliseconds(), 1))
 	}
-	v.step(r.event)
+	d.step(r.event)
 }
 
-// movedPause lets boxes hear of the new home.
-const movedPause = 10 * time.Millisecond
+// homeMovedDelay gives the boxes time to learn of the new home.
+const homeMovedDelay = 10 * time.Millisecond
--- a/coordination/dispatch/call.go
+++ b/coordination/dispatch/call.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package dispatch drives the requests that this box has taken: it feeds the
-// life cycle of each with what happens and does what the life cycle asks for.
+// Package dispatch handles the model requests that this box has accepted: it passes events to
+// the lifecycle state machine of each request and performs the effects that the state machine
+// returns.
 package dispatch
 
 import (
@@ -16,84 +17,87 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Request is one model request as it came from a caller.
+// Request is a model request as received from a caller.
 type Request struct {
 	Service  string
 	Account  string
 	Priority int
-	// Prompt is the whole prompt as one text.
+	// Prompt is the complete prompt as one text.
 	Prompt string
-	// PromptTokens is its estimated length.
+	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int
 	OutputTokens int
-	// Deadline bounds the first token from arrival; 0 is the service's target.
+	// Deadline limits the time from arrival to the first token; 0 means the target of the
+	// service.
 	Deadline time.Duration
 	// Once marks a request that must not be repeated.
 	Once bool
-	// Key, if not empty, makes repeats of the request one request.
+	// Key is the idempotency key; empty if there is none. Repeats with the same key are handled
+	// as one request.
 	Key string
-	// Zone is where the caller's box is.
+	// Zone is the availability zone in which the request arrived.
 	Zone string
-	// Asks is what makes another request the same as this one. The zero value is not
-	// known: such a request is never taken for a poison request.
+	// Asks holds what identifies the request to the quarantine. A request with the zero value
+	// is never taken for a poison request.
 	Asks poison.Request
-	// Forward, for a plain service, makes the exchange with the endpoint. Its
-	// errors say what they prove, as those of an engine do.
+	// Forward makes the exchange with the endpoint of a plain service; nil for a model. Its
+	// errors state whether the request may have run, like those of an engine.
 	Forward func(ctx context.Context, attempt lifecycle.AttemptID, e table.Endpoint) error
 }
 
-// Answer is the final word on a request.
+// Answer is the final outcome of a request.
 type Answer struct {
 	Phase  lifecycle.Phase
 	Reason lifecycle.Reason
-	// Ran is what is known about whether an engine worked on it.
+	// Ran states what is known about whether an engine ran the request.
 	Ran        lifecycle.Ran
 	RetryAfter time.Duration
 	// Tokens is the number of tokens delivered.
 	Tokens int
 }
 
-// tokenBuffer bounds the tokens that wait for the caller to read them.
+// tokenBuffer limits the tokens that wait to be read by the caller.
 const tokenBuffer = 1024
 
-// mailboxSize bounds the events that wait for a request's driver.
+// mailboxSize limits the events that wait for a request's driver.
 const mailboxSize = 16
 
-// Call is a request under way.
+// Call is a request in flight.
 type Call struct {
 	ID lifecycle.RequestID
-	// Tokens delivers the answer; it is closed when the final word stands.
+	// Tokens delivers the answer; it is closed when the request has ended.
 	Tokens <-chan string
 
-	tokens chan string
-	events chan lifecycle.Event
-	done   chan struct{}
-	once   sync.Once
-	answer Answer
-	gone   chan struct{}
-	// rehome is poked when the request's home may have changed.
+	tokens   chan string
+	events   chan lifecycle.Event
+	done     chan struct{}
+	goneOnce sync.Once
+	answer   Answer
+	gone     chan struct{}
+	// rehome is signaled when the request's home may have changed.
 	rehome chan struct{}
 }
 
-func (c *Call) lookAgain() {
+// notifyRehome makes the driver look up the request's home again.
+func (c *Call) notifyRehome() {
 	select {
 	case c.rehome <- struct{}{}:
 	default:
 	}
 }
 
-// Gone tells that the caller's connection is gone. It may be called at any
-// time and more than once.
+// Gone records that the caller has disconnected. It may be called at any time and more than
+// once.
 func (c *Call) Gone() {
-	c.once.Do(func() { close(c.gone) })
+	c.goneOnce.Do(func() { close(c.gone) })
 }
 
-// Done is closed when the final word stands.
+// Done returns a channel that is closed when the request has ended.
 func (c *Call) Done() <-chan struct{} {
 	return c.done
 }
 
-// Answer waits for the final word.
+// Answer waits for the final outcome. It errors when the context ends first.
 func (c *Call) Answer(ctx context.Context) (Answer, error) {
 	select {
 	case <-c.done:
@@ -103,8 +107,8 @@
 	}
 }
 
-// post hands an event to the driver, waiting for room as long as the driver
-// lives: a full mailbox slows the sender down and loses nothing.
+// post sends an event to the driver and blocks while the mailbox is full, so that no event is
+// lost. It returns without effect when the request has ended.
 func (c *Call) post(e lifecycle.Event) {
 	select {
 	case c.events <- e:
@@ -112,7 +116,7 @@
 	}
 }
 
-// callError gives the parts of an engine's error that the life cycle needs.
+// callError returns what an engine's error proves about the run, and its text.
 func callError(err error) (lifecycle.Ran, string) {
 	return adapter.RanOf(err), err.Error()
 }
--- a/coordination/dispatch/dispatcher.go
+++ b/coordination/dispatch/dispatcher.go
@@ -26,29 +26,29 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Homes takes questions to the home of a group.
+// Homes exchanges messages with the homes of groups.
 type Homes interface {
-	// PlacesOf lists the groups of a service.
+	// PlacesOf returns the groups of a service.
 	PlacesOf(service string) []group.Place
-	// RestOf is after how long this box may send to the first endpoint of a group that
-	// rests; 0 is that none does.
+	// RestOf returns how long until this box may send to the first resting endpoint of a group;
+	// 0 if none rests.
 	RestOf(group string) time.Duration
-	// HomesOf names the boxes to ask for a group, its home first.
+	// HomesOf returns the boxes to ask for a group, its home first.
 	HomesOf(group string) []string
 	Tell(box, group string, body home.Body) ring.Outcome
 }
 
-// Releaser frees holds on engines until they are acknowledged.
+// Releaser releases holds on engines and repeats the release until the engine acknowledges it.
 type Releaser interface {
 	Release(h cleanup.Hold) ring.Outcome
 }
 
-// Tables gives the table in force.
+// Tables provides the table in force.
 type Tables interface {
 	Table() table.Table
 }
 
-// Metrics counts requests.
+// Metrics records metrics of requests.
 type Metrics interface {
 	RequestEnded(e metric.Ended)
 }
@@ -58,34 +58,34 @@
 	Box         string
 	Incarnation uint64
 	Zone        string
-	// Region is that of the zone; empty is not known.
+	// Region is the region of Zone; empty if unknown.
 	Region   string
 	Engine   adapter.Engine
 	Homes    Homes
 	Releaser Releaser
 	Tables   Tables
-	// Keys and Owners serve requests with idempotency keys.
+	// Keys and Owners are used for requests with idempotency keys.
 	Keys   Keys
 	Owners Owners
-	// Quarantine keeps poison requests from the engines; nil is none.
+	// Quarantine keeps poison requests away from the engines; nil disables it.
 	Quarantine *quarantine.Keeper
-	// Notices keeps what endpoints say of themselves in their answers.
+	// Notices stores the notices that endpoints attach to their answers.
 	Notices *notice.Keeper
-	// Metrics, if set, counts requests that ended.
+	// Metrics records the outcome of requests; it may be nil.
 	Metrics Metrics
 	// Window is how long answers are kept for repeats.
 	Window time.Duration
-	// MaxAttempts bounds the attempts at one request.
+	// MaxAttempts limits the attempts of one request.
 	MaxAttempts uint32
-	// FirstWord is how long a home may be silent after an ask before the next
-	// box in rank is asked instead.
+	// FirstWord is how long a home may be silent after an ask before the next box in rank is
+	// asked.
 	FirstWord time.Duration
-	// AskAgain is how long to wait for the decision on a queued ask before
-	// asking again.
+	// AskAgain is how long to wait for the decision on a queued ask before asking again.
 	AskAgain time.Duration
-	// AskFor bounds all asking; past it nothing ran and the caller is told so.
+	// AskFor limits the total time of asking for one attempt; after it the request is refused
+	// as not run.
 	AskFor time.Duration
-	// StepTimeout bounds one order to an engine, and the gap between tokens.
+	// StepTimeout limits one order to an engine, and the gap between two tokens.
 	StepTimeout time.Duration
 	Log         log.Logger
 }
@@ -98,7 +98,7 @@
 	defaultStepTimeout = 10 * time.Second
 )
 
-// Dispatcher drives all requests of one box.
+// Dispatcher handles all model requests of one box.
 type Dispatcher struct {
 	cfg      Config
 	sequence atomic.Uint64
@@ -110,7 +110,7 @@
 	transcripts *transcripts
 }
 
-// New makes a dispatcher.
+// New returns a Dispatcher with the given configuration; zero values are replaced by defaults.
 func New(cfg Config) *Dispatcher {
 	if cfg.MaxAttempts == 0 {
 		cfg.MaxAttempts = defaultAttempts
@@ -139,21 +139,21 @@
 	}
 }
 
-// Piece answers a box whose request is a repeat of one here.
+// Piece answers a box that handles a repeat of a request of this box.
 func (d *Dispatcher) Piece(j dedup.Join) dedup.Piece {
 	return d.transcripts.piece(j)
 }
 
-// Submit starts a request. It goes on until its end even when the context
-// ends; the context only carries values.
+// Submit starts a request and returns at once. The request continues when the context ends;
+// only the values of the context are used.
 func (d *Dispatcher) Submit(ctx context.Context, r Request) *Call {
 	c := d.newCall()
-	v := newDriver(d, c, r)
-	go v.run(context.WithoutCancel(ctx))
+	driver := newDriver(d, c, r)
+	go driver.run(context.WithoutCancel(ctx))
 	return c
 }
 
-// NextID names a new request of this box.
+// NextID returns the ID of a new request of this box.
 func (d *Dispatcher) NextID() lifecycle.RequestID {
 	return lifecycle.RequestID{
 		Box:         d.cfg.Box,
@@ -162,6 +162,7 @@
 	}
 }
 
+// newCall registers a new request and counts it for the retry budget.
 func (d *Dispatcher) newCall() *Call {
 	id := d.NextID()
 	tokens := make(chan string, tokenBuffer)
@@ -181,14 +182,14 @@
 	return c
 }
 
-func (d *Dispatcher) forget(id lifecycle.RequestID) {
+func (d *Dispatcher) removeCall(id lifecycle.RequestID) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.calls, id)
 }
 
-// mayRetry spends one retry if the budget allows it.
-func (d *Dispatcher) mayRetry() bool {
+// spendRetry takes one retry from the budget and reports whether the budget allowed it.
+func (d *Dispatcher) spendRetry() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	next, ok := d.budget.WithRetry()
@@ -196,14 +197,14 @@
 	return ok
 }
 
-// Active is the number of requests under way.
+// Active returns the number of requests in flight.
 func (d *Dispatcher) Active() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.calls)
 }
 
-// ActiveIDs names the requests under way.
+// ActiveIDs returns the IDs of the requests in flight.
 func (d *Dispatcher) ActiveIDs() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -214,7 +215,7 @@
 	return out
 }
 
-// Owns says whether a request is under way on this box.
+// Owns reports whether this box is handling the request.
 func (d *Dispatcher) Owns(id lifecycle.RequestID) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -222,29 +223,30 @@
 	return ok
 }
 
-// Decide takes a home's decision. One for a request that is over gives the
-// grant back, since nobody else will.
+// Decide delivers a home's decision to the driver of its request. A grant for a request that
+// has ended is returned, since nobody else would return it.
 func (d *Dispatcher) Decide(from, group string, decision schedule.Decision) {
 	switch dec := decision.(type) {
 	case schedule.Grant:
 		d.grant(from, group, dec)
 	case schedule.Refuse:
-		d.deliver(dec.Ask.ID, refusal{id: dec.Ask.ID, event: lifecycle.Refused{
+		d.deliver(dec.Ask.ID, refusalEvent{id: dec.Ask.ID, event: lifecycle.Refused{
 			Reason:       dec.Reason,
 			RetryAfterMS: int(dec.RetryAfter.Milliseconds()),
 		}})
 	case schedule.Queued:
-		d.deliver(dec.Ask.ID, queuedBy{id: dec.Ask.ID, home: from})
+		d.deliver(dec.Ask.ID, queuedEvent{id: dec.Ask.ID, home: from})
 	case schedule.Slot:
 		event := lifecycle.SlotReady{Attempt: dec.Ask.ID.Number, Decode: dec.Decode}
-		d.deliver(dec.Ask.ID, slotFrom{event: event, move: dec.Move, counted: dec.Paced})
+		d.deliver(dec.Ask.ID, slotEvent{event: event, move: dec.Move, counted: dec.Paced})
 	}
 }
 
+// grant delivers a grant to the driver of its request, or returns it if there is none.
 func (d *Dispatcher) grant(from, group string, g schedule.Grant) {
-	event := grantFrom{
+	event := grantEvent{
 		id: g.Ask.ID, home: from, event: lifecycle.Granted{Plan: g.Plan}, move: g.Move,
-		prefill: g.PacedPrefill, decode: g.PacedDecode, held: g.Held,
+		prefillCounted: g.PacedPrefill, decodeCounted: g.PacedDecode, waited: g.Held,
 	}
 	if d.deliver(g.Ask.ID, event) {
 		return
@@ -252,7 +254,7 @@
 	_ = d.cfg.Homes.Tell(from, group, home.Withdrawn{ID: g.Ask.ID})
 }
 
-// deliver hands an event to a request's driver and reports whether there is one.
+// deliver sends an event to a request's driver and reports whether there is one.
 func (d *Dispatcher) deliver(id lifecycle.AttemptID, e lifecycle.Event) bool {
 	d.mutex.Lock()
 	c, ok := d.calls[id.Request]
@@ -260,7 +262,7 @@
 	if !ok {
 		return false
 	}
-	// The home's duty must not wait for one request.
+	// One slow request must not block the decisions for others.
 	select {
 	case c.events <- e:
 		return true
@@ -272,8 +274,8 @@
 	}
 }
 
-// Check tells a home which of the attempts are over here, and frees what the
-// named engine holds for them.
+// Check reports to a home which of the attempts have ended here, and releases what the named
+// engine holds for them.
 func (d *Dispatcher) Check(from, group, engine string, ids []lifecycle.AttemptID) {
 	e, known := d.cfg.Tables.Table().Endpoint(engine)
 	for _, id := range ids {
@@ -287,8 +289,8 @@
 	}
 }
 
-// Rehome makes every request look for its home again; the set of boxes with
-// duties has changed.
+// Rehome makes all requests look up their homes again, after the set of boxes that act as homes
+// has changed.
 func (d *Dispatcher) Rehome() {
 	d.mutex.Lock()
 	calls := make([]*Call, 0, len(d.calls))
@@ -297,6 +299,6 @@
 	}
 	d.mutex.Unlock()
 	for _, c := range calls {
-		c.lookAgain()
+		c.notifyRehome()
 	}
 }
--- a/coordination/dispatch/driver.go
+++ b/coordination/dispatch/driver.go
@@ -17,200 +17,201 @@
 	"runridge.example/runridge/state/table"
 )
 
-// work is the order under way.
-type work struct {
+// order is the order to an engine that is in flight.
+type order struct {
 	attempt uint32
 	cancel  context.CancelFunc
 	begun   time.Time
 }
 
-// driver runs one request: one goroutine that owns the life cycle, and one
-// for the order under way.
+// driver handles one request: one goroutine owns the lifecycle state machine, and another one
+// runs the order in flight.
 type driver struct {
-	d       *Dispatcher
-	call    *Call
-	request Request
-	// suspect is the request as the quarantine sees it.
+	dispatcher *Dispatcher
+	call       *Call
+	request    Request
+	// suspect is the request as the quarantine tracks it.
 	suspect *quarantine.Request
 	machine lifecycle.Machine
 	ctx     context.Context
 	started time.Time
 	group   string
-	// home is where the current ask or grant lives.
+	// home is the box that has the current ask or grant.
 	home    string
 	marks   []prefix.Mark
 	emitted strings.Builder
-	work    work
-	// used are the engines that orders were sent to.
+	order   order
+	// used holds the engines that orders were sent to.
 	used map[string]table.Endpoint
-	// asked is the ask under way; askTimer asks it again.
-	asked    schedule.Ask
-	askTimer *time.Timer
-	// rank is which of the group's boxes is asked, 0 for its home; queued is
-	// true when that box has said that the ask waits there.
-	rank     int
-	queued   bool
-	askUntil time.Time
-	// askedAt is when each box was first asked the question under way: one that answers a
-	// repeat of it counts from the first.
+	// currentAsk is the ask in flight, and askTimer fires when it has to be repeated.
+	currentAsk schedule.Ask
+	askTimer   *time.Timer
+	// rank is the index of the box that is asked, 0 for the group's home; queued reports
+	// whether that box has queued the ask.
+	rank        int
+	queued      bool
+	askDeadline time.Time
+	// askedAt maps each box to the time when it was first asked the same question. For a box
+	// that answers a repeated ask, the first one counts.
 	askedAt map[string]time.Time
-	// counted is what the home has counted of the attempt, and reached says that its
-	// decode engine has been sent an order.
-	counted pace.Counted
-	reached bool
-	report  schedule.Report
-	// prefilledBy is what the prefill engine said of its work.
-	prefilledBy home.Prefilled
-	// moveTimeout bounds the transfer of the attempt.
+	// counted holds what the home has counted of the attempt toward the limits of its engines,
+	// and decodeStarted reports whether an order has been sent to the decode engine.
+	counted       pace.Counted
+	decodeStarted bool
+	report        schedule.Report
+	// prefillReport is the prefill engine's report on its work.
+	prefillReport home.Prefilled
+	// moveTimeout limits the transfer of the attempt's KV cache.
 	moveTimeout time.Duration
-	// began is the first token of the whole answer; first and last are those
-	// of the attempt.
-	began    time.Time
-	first    time.Time
-	last     time.Time
-	answered bool
+	// firstTokenAt is the time of the first token of the whole answer; attemptFirstAt and
+	// attemptLastAt are the times of the first and last token of the attempt.
+	firstTokenAt   time.Time
+	attemptFirstAt time.Time
+	attemptLastAt  time.Time
+	answered       bool
 }
 
 func newDriver(d *Dispatcher, c *Call, r Request) *driver {
 	return &driver{
-		d:        d,
-		call:     c,
-		request:  r,
-		suspect:  d.cfg.Quarantine.Request(c.ID.String(), r.Service, r.Asks),
-		started:  time.Now(),
-		marks:    prefix.Marks([]byte(r.Prompt)),
-		askTimer: time.NewTimer(time.Hour),
-		used:     make(map[string]table.Endpoint),
+		dispatcher: d,
+		call:       c,
+		request:    r,
+		suspect:    d.cfg.Quarantine.Request(c.ID.String(), r.Service, r.Asks),
+		started:    time.Now(),
+		marks:      prefix.Marks([]byte(r.Prompt)),
+		askTimer:   time.NewTimer(time.Hour),
+		used:       make(map[string]table.Endpoint),
 	}
 }
 
-// run is the driver's goroutine.
-func (v *driver) run(ctx context.Context) {
-	v.ctx = ctx
-	defer v.askTimer.Stop()
-	defer v.d.forget(v.call.ID)
-	defer close(v.call.done)
-	defer close(v.call.tokens)
-	if v.request.Key != "" {
-		v.d.transcripts.begin(v.call.ID)
-		if !v.settleKey() {
+// run is the driver's main loop. It returns when the request has ended.
+func (d *driver) run(ctx context.Context) {
+	d.ctx = ctx
+	defer d.askTimer.Stop()
+	defer d.dispatcher.removeCall(d.call.ID)
+	defer close(d.call.done)
+	defer close(d.call.tokens)
+	if d.request.Key != "" {
+		d.dispatcher.transcripts.begin(d.call.ID)
+		if !d.claimKey() {
 			return
 		}
 	}
-	m, effects := lifecycle.New(v.request.Once, v.d.cfg.MaxAttempts)
-	v.machine = m
-	v.perform(effects)
-	for !v.answered {
-		v.wait()
+	m, effects := lifecycle.New(d.request.Once, d.dispatcher.cfg.MaxAttempts)
+	d.machine = m
+	d.perform(effects)
+	for !d.answered {
+		d.handleNext()
 	}
 }
 
-// wait takes the next thing that happens.
-func (v *driver) wait() {
+// handleNext waits for the next event and handles it.
+func (d *driver) handleNext() {
 	select {
-	case e := <-v.call.events:
-		v.take(e)
-	case <-v.call.gone:
-		v.step(lifecycle.CallerGone{})
-	case <-v.askTimer.C:
-		v.askAgain()
-	case <-v.call.rehome:
-		v.rehome()
+	case e := <-d.call.events:
+		d.handleEvent(e)
+	case <-d.call.gone:
+		d.step(lifecycle.CallerGone{})
+	case <-d.askTimer.C:
+		d.retryAsk()
+	case <-d.call.rehome:
+		d.rehome()
 	}
 }
 
-// take unpacks decisions and drops those for another attempt.
-func (v *driver) take(e lifecycle.Event) {
+// handleEvent records what an event carries for the driver and passes it to the state machine.
+// Decisions on other attempts are discarded, and their grants returned.
+func (d *driver) handleEvent(e lifecycle.Event) {
 	switch ev := e.(type) {
-	case grantFrom:
-		if ev.id.Number != v.machine.Attempt+1 || v.machine.Phase != lifecycle.Received {
-			v.refuseGrant(ev)
+	case grantEvent:
+		if ev.id.Number != d.machine.Attempt+1 || d.machine.Phase != lifecycle.Received {
+			d.returnSecondGrant(ev)
 			return
 		}
-		v.askTimer.Stop()
-		v.home = ev.home
-		v.counted = pace.Counted{Prefill: ev.prefill, Decode: ev.decode, Granted: v.askedAt[ev.home].Add(ev.held)}
-		v.reached = false
-		v.expectMove(ev.move)
-		v.step(ev.event)
-	case slotFrom:
-		if ev.event.Attempt == v.machine.Attempt {
-			v.expectMove(ev.move)
-			v.counted.Decode, v.counted.Prefilled = ev.counted, time.Now()
+		d.askTimer.Stop()
+		d.home = ev.home
+		d.counted = pace.Counted{Prefill: ev.prefillCounted, Decode: ev.decodeCounted, Granted: d.askedAt[ev.home].Add(ev.waited)}
+		d.decodeStarted = false
+		d.setMoveTimeout(ev.move)
+		d.step(ev.event)
+	case slotEvent:
+		if ev.event.Attempt == d.machine.Attempt {
+			d.setMoveTimeout(ev.move)
+			d.counted.Decode, d.counted.Prefilled = ev.counted, time.Now()
 		}
-		v.step(ev.event)
-	case refusal:
-		v.takeRefusal(ev)
-	case queuedBy:
-		if ev.home == v.home && ev.id == v.asked.ID && v.machine.Phase == lifecycle.Received {
-			v.queued = true
-			v.askTimer.Reset(v.d.cfg.AskAgain)
+		d.step(ev.event)
+	case refusalEvent:
+		d.handleRefusal(ev)
+	case queuedEvent:
+		if ev.home == d.home && ev.id == d.currentAsk.ID && d.machine.Phase == lifecycle.Received {
+			d.queued = true
+			d.askTimer.Reset(d.dispatcher.cfg.AskAgain)
 		}
-	case prefilled:
-		v.prefilledBy = ev.report
-		v.counted.Prefilled = time.Now()
-		v.step(ev.event)
-	case failure:
-		v.takeFailure(ev)
-	case moved:
-		if ev.event.Attempt == v.machine.Attempt {
-			v.report.MoveTime = ev.took
+	case prefillEvent:
+		d.prefillReport = ev.report
+		d.counted.Prefilled = time.Now()
+		d.step(ev.event)
+	case failureEvent:
+		d.handleFailure(ev)
+	case moveEvent:
+		if ev.event.Attempt == d.machine.Attempt {
+			d.report.MoveTime = ev.took
 		}
-		v.step(ev.event)
+		d.step(ev.event)
 	default:
-		v.step(e)
+		d.step(e)
 	}
 }
 
-// takeFailure adds to a failed order what only the driver knows: whether the
-// engine is to blame and whether the retry budget allows another attempt.
-func (v *driver) takeFailure(f failure) {
-	if f.event.Attempt != v.machine.Attempt || v.machine.Phase.Ended() {
+// handleFailure completes a failed order with what only the driver knows: whether the engine is
+// to blame and whether the retry budget allows another attempt.
+func (d *driver) handleFailure(f failureEvent) {
+	if f.event.Attempt != d.machine.Attempt || d.machine.Phase.Ended() {
 		return
 	}
 	if f.event.Ran != lifecycle.NotRun {
-		v.suspect.BrokeOff(f.event.Engine, f.broke, time.Since(v.work.begun))
+		d.suspect.BrokeOff(f.event.Engine, f.broke, time.Since(d.order.begun))
 	}
 	if !f.event.Gone && !f.withheld {
-		v.report.Failed = f.event.Engine
+		d.report.Failed = f.event.Engine
 	}
-	f.event.Retry = !f.final && v.machine.Attempt < v.d.cfg.MaxAttempts && v.d.mayRetry()
+	f.event.Retry = !f.final && d.machine.Attempt < d.dispatcher.cfg.MaxAttempts && d.dispatcher.spendRetry()
 	f.event.RetryAfterMS = noEngineRetryMS
-	v.step(f.event)
+	d.step(f.event)
 }
 
-// step feeds the life cycle and does what follows.
-func (v *driver) step(e lifecycle.Event) {
-	m, effects := v.machine.Step(e)
-	v.machine = m
-	v.perform(effects)
+// step passes an event to the state machine and performs the resulting effects.
+func (d *driver) step(e lifecycle.Event) {
+	m, effects := d.machine.Step(e)
+	d.machine = m
+	d.perform(effects)
 }
 
-func (v *driver) perform(effects []lifecycle.Effect) {
+func (d *driver) perform(effects []lifecycle.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case lifecycle.AskHome:
-			v.ask(e)
+			d.ask(e)
 		case lifecycle.Withdraw:
-			v.tell(home.Withdrawn{ID: v.asked.ID})
+			d.notifyHome(home.Withdrawn{ID: d.currentAsk.ID})
 		case lifecycle.StartPrefill:
-			v.startPrefill(e)
+			d.startPrefill(e)
 		case lifecycle.ReportPrefilled:
-			v.tell(v.prefilledBy)
+			d.notifyHome(d.prefillReport)
 		case lifecycle.StartMove:
-			v.startMove(e)
+			d.startMove(e)
 		case lifecycle.StartDecode:
-			v.startDecode(e)
+			d.startDecode(e)
 		case lifecycle.Deliver:
-			v.deliver(e.Token)
+			d.deliver(e.Token)
 		case lifecycle.StopWork:
-			v.stopWork()
+			d.cancelOrder()
 		case lifecycle.Release:
-			v.release(e.Hold)
+			d.release(e.Hold)
 		case lifecycle.ReturnGrant:
-			v.returnGrant(e)
+			d.returnGrant(e)
 		case lifecycle.Answer:
-			v.answer(e)
+			d.answer(e)
 		}
 	}
 }
--- a/coordination/dispatch/finish.go
+++ b/coordination/dispatch/finish.go
@@ -12,106 +12,110 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-func (v *driver) release(h lifecycle.Hold) {
-	e, ok := v.used[h.Engine]
-	if !ok || v.request.Forward != nil {
-		// No order was ever sent there, or it holds nothing that we could free.
+// release frees what an engine holds for an attempt.
+func (d *driver) release(h lifecycle.Hold) {
+	e, ok := d.used[h.Engine]
+	if !ok || d.request.Forward != nil {
+		// No order was sent to the engine, or it holds nothing that can be released.
 		return
 	}
-	id := lifecycle.AttemptID{Request: v.call.ID, Number: h.Attempt}
-	_ = v.d.cfg.Releaser.Release(cleanup.Hold{Endpoint: e, Attempt: id.String()})
+	id := lifecycle.AttemptID{Request: d.call.ID, Number: h.Attempt}
+	_ = d.dispatcher.cfg.Releaser.Release(cleanup.Hold{Endpoint: e, Attempt: id.String()})
 }
 
-func (v *driver) returnGrant(e lifecycle.ReturnGrant) {
-	r := v.report
-	r.ID = lifecycle.AttemptID{Request: v.call.ID, Number: e.Attempt}
+// returnGrant reports the end of an attempt to its home.
+func (d *driver) returnGrant(e lifecycle.ReturnGrant) {
+	r := d.report
+	r.ID = lifecycle.AttemptID{Request: d.call.ID, Number: e.Attempt}
 	r.Finished = e.Finished
-	r.StepTime = v.last.Sub(v.first)
-	if v.call.ID.Sequence%stepSample != 0 {
-		// A sample is enough to learn from, and the bytes add up.
+	r.StepTime = d.attemptLastAt.Sub(d.attemptFirstAt)
+	if d.call.ID.Sequence%stepSampleInterval != 0 {
+		// Homes learn enough from a sample, and leaving out the rest saves bandwidth.
 		r.Steps, r.StepTime = 0, 0
 	}
-	v.tell(r)
+	d.notifyHome(r)
 }
 
-// stepSample is how many requests there are for each that reports its steps.
-const stepSample = 4
+// stepSampleInterval is the number of requests for each one that reports its steps.
+const stepSampleInterval = 4
 
-// deliver hands a token to the caller. A caller that does not read is gone.
-func (v *driver) deliver(t lifecycle.Token) {
+// deliver records a token and sends it to the caller.
+func (d *driver) deliver(t lifecycle.Token) {
 	now := time.Now()
-	if v.began.IsZero() {
-		v.began = now
+	if d.firstTokenAt.IsZero() {
+		d.firstTokenAt = now
 	}
-	if v.first.IsZero() {
-		v.first = now
+	if d.attemptFirstAt.IsZero() {
+		d.attemptFirstAt = now
 	} else {
-		v.report.Steps++
+		d.report.Steps++
 	}
-	v.last = now
-	v.emitted.WriteString(t.Text)
-	v.hand(t.Text)
+	d.attemptLastAt = now
+	d.emitted.WriteString(t.Text)
+	d.sendToken(t.Text)
 }
 
-// hand gives a token's text to the caller's side.
-func (v *driver) hand(text string) {
-	if v.request.Key != "" {
-		v.d.transcripts.add(v.call.ID, text)
+// sendToken passes the text of a token to the caller's goroutine. A caller that does not read
+// is treated as disconnected.
+func (d *driver) sendToken(text string) {
+	if d.request.Key != "" {
+		d.dispatcher.transcripts.add(d.call.ID, text)
 	}
 	select {
-	case v.call.tokens <- text:
+	case d.call.tokens <- text:
 	default:
-		v.call.Gone()
+		d.call.Gone()
 	}
 }
 
-func (v *driver) answer(a lifecycle.Answer) {
-	v.conclude(Answer{
+// answer ends the request with the outcome of the state machine.
+func (d *driver) answer(a lifecycle.Answer) {
+	d.finish(Answer{
 		Phase:      a.Phase,
 		Reason:     a.Reason,
-		Ran:        v.machine.Ran,
+		Ran:        d.machine.Ran,
 		RetryAfter: time.Duration(a.RetryAfterMS) * time.Millisecond,
-		Tokens:     v.machine.Emitted,
+		Tokens:     d.machine.Emitted,
 	})
 }
 
-// conclude is the final word on the request; it comes once.
-func (v *driver) conclude(a Answer) {
-	v.answered = true
-	v.call.answer = a
+// finish records the final outcome of the request. It must be called once.
+func (d *driver) finish(a Answer) {
+	d.answered = true
+	d.call.answer = a
 	if a.Phase == lifecycle.Finished {
-		v.suspect.Answered()
+		d.suspect.Answered()
 	}
-	if v.request.Key != "" {
-		v.d.transcripts.end(v.call.ID, a)
+	if d.request.Key != "" {
+		d.dispatcher.transcripts.end(d.call.ID, a)
 	}
-	v.measure(a)
-	v.d.cfg.Log.WithFields(log.Fields{
-		log.FieldRequest: v.call.ID.String(),
+	d.recordMetrics(a)
+	d.dispatcher.cfg.Log.WithFields(log.Fields{
+		log.FieldRequest: d.call.ID.String(),
 		"outcome":        a.Phase.String(),
 		log.FieldReason:  string(a.Reason),
 		"tokens":         a.Tokens,
-		"attempts":       v.machine.Attempt,
-		"ms":             time.Since(v.started).Milliseconds(),
+		"attempts":       d.machine.Attempt,
+		"ms":             time.Since(d.started).Milliseconds(),
 	}).Info("request_ended")
 }
 
-// measure counts the request that ends.
-func (v *driver) measure(a Answer) {
-	if v.d.cfg.Metrics == nil {
+// recordMetrics counts the end of the request.
+func (d *driver) recordMetrics(a Answer) {
+	if d.dispatcher.cfg.Metrics == nil {
 		return
 	}
 	e := metric.Ended{
-		Service:  v.request.Service,
+		Service:  d.request.Service,
 		Outcome:  a.Phase.String(),
 		Reason:   string(a.Reason),
-		Attempts: int(v.machine.Attempt),
+		Attempts: int(d.machine.Attempt),
 	}
-	if !v.began.IsZero() {
-		e.FirstToken = v.began.Sub(v.started)
+	if !d.firstTokenAt.IsZero() {
+		e.FirstToken = d.firstTokenAt.Sub(d.started)
 	}
-	if v.report.Steps > 0 {
-		e.PerToken = v.last.Sub(v.first) / time.Duration(v.report.Steps)
+	if d.report.Steps > 0 {
+		e.PerToken = d.attemptLastAt.Sub(d.attemptFirstAt) / time.Duration(d.report.Steps)
 	}
-	v.d.cfg.Metrics.RequestEnded(e)
+	d.dispatcher.cfg.Metrics.RequestEnded(e)
 }
--- a/coordination/dispatch/orders.go
+++ b/coordination/dispatch/orders.go
@@ -17,168 +17,174 @@
 	"runridge.example/runridge/state/table"
 )
 
-// errStalled ends a decode whose tokens stopped coming.
+// errStalled is the cause of canceling a decode that stopped sending tokens.
 var errStalled = errors.New("no token within the step timeout")
 
-// notInTable is a failure before anything was sent.
+// notInTable returns the error for an engine that was removed from the table before anything
+// was sent to it.
 func notInTable() error {
 	return adapter.ErrNotRun.New("engine is not in the table any more")
 }
 
-func (v *driver) startPrefill(e lifecycle.StartPrefill) {
-	if v.stopPoison() {
+// startPrefill orders the prefill of the prompt.
+func (d *driver) startPrefill(e lifecycle.StartPrefill) {
+	if d.stopIfPoison() {
 		return
 	}
-	attempt, prompt := v.attempt(), v.prompt()
-	engine, ok := v.endpoint(e.Engine)
-	withheld := v.withholdPrefill(e.Engine)
-	v.order(func(ctx context.Context) {
+	attempt, prompt := d.attempt(), d.prompt()
+	engine, ok := d.endpoint(e.Engine)
+	withheld := d.withholdPrefill(e.Engine)
+	d.startOrder(func(ctx context.Context) {
 		if withheld != "" {
-			v.leaveOut(e.Attempt, e.Engine, withheld)
+			d.failWithheld(e.Attempt, e.Engine, withheld)
 			return
 		}
 		if !ok {
-			v.fail(e.Attempt, e.Engine, notInTable(), lifecycle.ReasonRouteRemoved)
+			d.failOrder(e.Attempt, e.Engine, notInTable(), lifecycle.ReasonRouteRemoved)
 			return
 		}
-		ctx, cancel := context.WithTimeout(ctx, v.d.cfg.StepTimeout)
+		ctx, cancel := context.WithTimeout(ctx, d.dispatcher.cfg.StepTimeout)
 		defer cancel()
-		p, err := v.d.cfg.Engine.Prefill(ctx, engine, attempt, prompt, v.request.Once)
+		p, err := d.dispatcher.cfg.Engine.Prefill(ctx, engine, attempt, prompt, d.request.Once)
 		if err != nil {
-			v.fail(e.Attempt, e.Engine, err, lifecycle.ReasonEngine)
+			d.failOrder(e.Attempt, e.Engine, err, lifecycle.ReasonEngine)
 			return
 		}
 		worked := time.Duration(p.WorkedUS) * time.Microsecond
-		v.call.post(prefilled{
+		d.call.post(prefillEvent{
 			report: home.Prefilled{ID: attempt, Computed: p.Computed, Worked: worked},
 			event:  lifecycle.PrefillDone{Attempt: e.Attempt},
 		})
 	})
 }
 
-// prefilled carries the engine's figures to the driver's own goroutine.
-type prefilled struct {
+// prefillEvent carries the engine's report to the driver's goroutine.
+type prefillEvent struct {
 	lifecycle.Event
 	report home.Prefilled
 	event  lifecycle.PrefillDone
 }
 
-// moved carries the time of a transfer to the driver's own goroutine.
-type moved struct {
+// moveEvent carries the duration of a transfer to the driver's goroutine.
+type moveEvent struct {
 	lifecycle.Event
 	took  time.Duration
 	event lifecycle.MoveDone
 }
 
-func (v *driver) startMove(e lifecycle.StartMove) {
-	attempt := v.attempt()
-	from, known := v.endpoint(e.From)
-	to, ok := v.endpoint(e.To)
+// startMove orders the decode engine to fetch the KV cache from the prefill engine.
+func (d *driver) startMove(e lifecycle.StartMove) {
+	attempt := d.attempt()
+	from, known := d.endpoint(e.From)
+	to, ok := d.endpoint(e.To)
 	order := adapter.Import{
-		Source:       lifecycle.AttemptID{Request: v.call.ID, Number: e.Source},
-		OutputTokens: v.request.OutputTokens - v.machine.Emitted,
+		Source:       lifecycle.AttemptID{Request: d.call.ID, Number: e.Source},
+		OutputTokens: d.request.OutputTokens - d.machine.Emitted,
 	}
-	patience := v.moveTimeout
-	withheld := v.withholdDecode(e.To)
-	v.order(func(ctx context.Context) {
+	timeout := d.moveTimeout
+	withheld := d.withholdDecode(e.To)
+	d.startOrder(func(ctx context.Context) {
 		if withheld != "" {
-			v.leaveOut(e.Attempt, e.To, withheld)
+			d.failWithheld(e.Attempt, e.To, withheld)
 			return
 		}
 		if !ok || !known {
-			v.fail(e.Attempt, e.To, notInTable(), lifecycle.ReasonRouteRemoved)
+			d.failOrder(e.Attempt, e.To, notInTable(), lifecycle.ReasonRouteRemoved)
 			return
 		}
-		ctx, cancel := context.WithTimeout(ctx, patience)
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		begin := time.Now()
-		if err := v.d.cfg.Engine.Import(ctx, to, from, attempt, order); err != nil {
-			v.fail(e.Attempt, e.To, err, lifecycle.ReasonTransfer)
+		if err := d.dispatcher.cfg.Engine.Import(ctx, to, from, attempt, order); err != nil {
+			d.failOrder(e.Attempt, e.To, err, lifecycle.ReasonTransfer)
 			return
 		}
-		v.call.post(moved{took: time.Since(begin), event: lifecycle.MoveDone{Attempt: e.Attempt}})
+		d.call.post(moveEvent{took: time.Since(begin), event: lifecycle.MoveDone{Attempt: e.Attempt}})
 	})
 }
 
-// expectMove sets how long the attempt's transfer may take, so that a stalled
-// one is given up while the answer can still be had another way.
-func (v *driver) expectMove(estimate time.Duration) {
-	v.moveTimeout = v.d.cfg.StepTimeout / moveShare
+// setMoveTimeout sets the timeout of the attempt's transfer from the estimate of its duration,
+// so that a stalled transfer is abandoned while the answer can still be produced another way.
+func (d *driver) setMoveTimeout(estimate time.Duration) {
+	d.moveTimeout = d.dispatcher.cfg.StepTimeout / defaultMoveDivisor
 	if estimate > 0 {
-		v.moveTimeout = min(max(estimate*movePatience, leastMove), v.d.cfg.StepTimeout)
+		d.moveTimeout = min(max(estimate*moveTimeoutFactor, minMoveTimeout), d.dispatcher.cfg.StepTimeout)
 	}
 }
 
 const (
-	// movePatience is how many times its estimate a transfer may take.
-	movePatience = 4
-	// leastMove is the least time that a transfer is given.
-	leastMove = 150 * time.Millisecond
-	// moveShare of the step timeout is used where there is no estimate.
-	moveShare = 5
+	// moveTimeoutFactor is the timeout of a transfer as a multiple of its estimate.
+	moveTimeoutFactor = 4
+	// minMoveTimeout is the minimum timeout of a transfer.
+	minMoveTimeout = 150 * time.Millisecond
+	// defaultMoveDivisor divides the step timeout to get the timeout of a transfer without an
+	// estimate.
+	defaultMoveDivisor = 5
 )
 
-func (v *driver) startDecode(e lifecycle.StartDecode) {
-	if v.stopPoison() {
+// startDecode orders the decode of the answer, or forwards the call to a plain service.
+func (d *driver) startDecode(e lifecycle.StartDecode) {
+	if d.stopIfPoison() {
 		return
 	}
-	attempt := v.attempt()
-	engine, ok := v.endpoint(e.Engine)
+	attempt := d.attempt()
+	engine, ok := d.endpoint(e.Engine)
 	order := adapter.Decode{
 		Emitted:      e.Emitted,
-		Text:         v.emitted.String(),
-		OutputTokens: v.request.OutputTokens,
-		Priority:     v.request.Priority,
+		Text:         d.emitted.String(),
+		OutputTokens: d.request.OutputTokens,
+		Priority:     d.request.Priority,
 	}
 	if e.Recompute {
-		p := v.prompt()
+		p := d.prompt()
 		order.Recompute = &p
 	}
-	withheld := v.withholdDecode(e.Engine)
-	v.order(func(ctx context.Context) {
+	withheld := d.withholdDecode(e.Engine)
+	d.startOrder(func(ctx context.Context) {
 		if withheld != "" {
-			v.leaveOut(e.Attempt, e.Engine, withheld)
+			d.failWithheld(e.Attempt, e.Engine, withheld)
 			return
 		}
 		if !ok {
-			v.fail(e.Attempt, e.Engine, notInTable(), lifecycle.ReasonRouteRemoved)
+			d.failOrder(e.Attempt, e.Engine, notInTable(), lifecycle.ReasonRouteRemoved)
 			return
 		}
-		if v.request.Forward != nil {
-			v.forward(ctx, attempt, e, engine)
+		if d.request.Forward != nil {
+			d.forward(ctx, attempt, e, engine)
 			return
 		}
-		v.decode(ctx, e, engine.Name, func(ctx context.Context, each func(adapter.Token) bool) error {
-			return v.d.cfg.Engine.Decode(ctx, engine, attempt, order, v.request.Once, each)
+		d.decode(ctx, e, engine.Name, func(ctx context.Context, each func(adapter.Token) bool) error {
+			return d.dispatcher.cfg.Engine.Decode(ctx, engine, attempt, order, d.request.Once, each)
 		})
 	})
 }
 
-// forward passes a call on to a plain service. Its whole answer stands for the
-// one token that ends the request.
-func (v *driver) forward(ctx context.Context, attempt lifecycle.AttemptID, e lifecycle.StartDecode, endpoint table.Endpoint) {
-	if err := v.request.Forward(ctx, attempt, endpoint); err != nil {
-		v.fail(e.Attempt, e.Engine, err, lifecycle.ReasonEngine)
+// forward sends a call to a plain service. Its complete answer counts as the single token that
+// ends the request.
+func (d *driver) forward(ctx context.Context, attempt lifecycle.AttemptID, e lifecycle.StartDecode, endpoint table.Endpoint) {
+	if err := d.request.Forward(ctx, attempt, endpoint); err != nil {
+		d.failOrder(e.Attempt, e.Engine, err, lifecycle.ReasonEngine)
 		return
 	}
-	v.call.post(lifecycle.Token{Attempt: e.Attempt, Index: 0, Last: true})
+	d.call.post(lifecycle.Token{Attempt: e.Attempt, Index: 0, Last: true})
 }
 
-// decode posts the tokens of an answer and notices when they stop coming.
-func (v *driver) decode(ctx context.Context, e lifecycle.StartDecode, engine string, stream func(context.Context, func(adapter.Token) bool) error) {
+// decode posts the tokens of an answer and cancels the stream when none arrives within the step
+// timeout.
+func (d *driver) decode(ctx context.Context, e lifecycle.StartDecode, engine string, stream func(context.Context, func(adapter.Token) bool) error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	alarm := time.AfterFunc(v.d.cfg.StepTimeout, func() { cancel(errStalled) })
+	alarm := time.AfterFunc(d.dispatcher.cfg.StepTimeout, func() { cancel(errStalled) })
 	defer alarm.Stop()
-	want := lifecycle.AttemptID{Request: v.call.ID, Number: e.Attempt}.String()
+	want := lifecycle.AttemptID{Request: d.call.ID, Number: e.Attempt}.String()
 	complete := false
 	err := stream(ctx, func(t adapter.Token) bool {
-		alarm.Reset(v.d.cfg.StepTimeout)
+		alarm.Reset(d.dispatcher.cfg.StepTimeout)
 		if t.Attempt != want {
-			// Another request's answer on this stream: nothing here counts.
+			// The stream belongs to another request, so none of its tokens count.
 			return false
 		}
-		v.call.post(lifecycle.Token{Attempt: e.Attempt, Index: t.Index, Text: t.Text, Last: t.Last})
+		d.call.post(lifecycle.Token{Attempt: e.Attempt, Index: t.Index, Text: t.Text, Last: t.Last})
 		complete = complete || t.Last
 		return !t.Last
 	})
@@ -188,48 +194,50 @@
 	if err == nil {
 		err = adapter.ErrDidRun.New("answer ended before its last token")
 	}
-	v.fail(e.Attempt, engine, err, lifecycle.ReasonEngine)
+	d.failOrder(e.Attempt, engine, err, lifecycle.ReasonEngine)
 }
 
-func (v *driver) attempt() lifecycle.AttemptID {
-	return lifecycle.AttemptID{Request: v.call.ID, Number: v.machine.Attempt}
+// attempt returns the ID of the current attempt.
+func (d *driver) attempt() lifecycle.AttemptID {
+	return lifecycle.AttemptID{Request: d.call.ID, Number: d.machine.Attempt}
 }
 
-func (v *driver) prompt() adapter.Prompt {
-	p := adapter.Prompt{Text: v.request.Prompt, Emitted: v.emitted.String(), Priority: v.request.Priority}
-	for _, m := range v.marks {
+// prompt returns the prompt for an engine, with the text emitted so far.
+func (d *driver) prompt() adapter.Prompt {
+	p := adapter.Prompt{Text: d.request.Prompt, Emitted: d.emitted.String(), Priority: d.request.Priority}
+	for _, m := range d.marks {
 		p.Marks = append(p.Marks, m.Hash)
 		p.MarkBytes = append(p.MarkBytes, m.Bytes)
 	}
 	return p
 }
 
-// order runs one order in a goroutine of its own under a timeout.
-func (v *driver) order(run func(ctx context.Context)) {
-	ctx, cancel := context.WithCancel(v.ctx)
-	v.work = work{attempt: v.machine.Attempt, cancel: cancel, begun: time.Now()}
-	if v.machine.Phase == lifecycle.Admitted {
-		v.step(lifecycle.Started{Attempt: v.machine.Attempt})
+// startOrder runs an order in its own goroutine, with a context that cancelOrder cancels.
+func (d *driver) startOrder(run func(ctx context.Context)) {
+	ctx, cancel := context.WithCancel(d.ctx)
+	d.order = order{attempt: d.machine.Attempt, cancel: cancel, begun: time.Now()}
+	if d.machine.Phase == lifecycle.Admitted {
+		d.step(lifecycle.Started{Attempt: d.machine.Attempt})
 	}
 	go run(ctx)
 }
 
-func (v *driver) stopWork() {
-	if v.work.cancel != nil {
-		v.work.cancel()
+func (d *driver) cancelOrder() {
+	if d.order.cancel != nil {
+		d.order.cancel()
 	}
 }
 
-// fail posts a failed order.
-func (v *driver) fail(number uint32, engine string, err error, reason lifecycle.Reason) {
+// failOrder logs and posts the failure of an order.
+func (d *driver) failOrder(number uint32, engine string, err error, reason lifecycle.Reason) {
 	ran, text := callError(err)
-	v.d.cfg.Log.WithFields(log.Fields{
-		log.FieldRequest: v.call.ID.String(),
+	d.dispatcher.cfg.Log.WithFields(log.Fields{
+		log.FieldRequest: d.call.ID.String(),
 		log.FieldAttempt: number,
 		log.FieldEngine:  engine,
 		log.FieldReason:  text,
 	}).Info("order_failed")
-	v.call.post(failure{
+	d.call.post(failureEvent{
 		final: errorx.IsOfType(err, adapter.ErrFinal),
 		broke: adapter.BreakOf(err),
 		event: lifecycle.StepFailed{
@@ -242,25 +250,25 @@
 	})
 }
 
-// failure carries a failed order to the driver's own goroutine, which adds
-// what only it knows.
-type failure struct {
+// failureEvent carries a failed order to the driver's goroutine, which completes it in
+// handleFailure.
+type failureEvent struct {
 	lifecycle.Event
 	event lifecycle.StepFailed
-	// final says that no other attempt can take this one's place, and broke how the
-	// exchange broke off, if it did.
+	// final reports that another attempt cannot succeed either, and broke is how the exchange
+	// was interrupted, if it was.
 	final bool
 	broke adapter.Break
-	// withheld says that nothing was sent, and the engine is not to blame.
+	// withheld reports that nothing was sent and the engine is not to blame.
 	withheld bool
 }
 
-// endpoint finds an engine in the table in force, and remembers it: what it
-// holds has to be freed even when the table has lost it by then.
-func (v *driver) endpoint(name string) (table.Endpoint, bool) {
-	e, ok := v.d.cfg.Tables.Table().Endpoint(name)
+// endpoint returns an engine from the table in force and remembers it, because what it holds
+// has to be released even if it is removed from the table.
+func (d *driver) endpoint(name string) (table.Endpoint, bool) {
+	e, ok := d.dispatcher.cfg.Tables.Table().Endpoint(name)
 	if ok {
-		v.used[name] = e
+		d.used[name] = e
 	}
 	return e, ok
 }
--- a/coordination/dispatch/paced.go
+++ b/coordination/dispatch/paced.go
@@ -10,52 +10,57 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// reasonNotCounted is why an order is not sent that no home has counted for its engine.
+// reasonNotCounted is why an order is not sent if no home has counted it for its engine.
 const reasonNotCounted = "endpoint_not_counted"
 
-// withholdPrefill says why an engine may not be ordered the prefill now: it leaves, it wants
-// rest, or it names a limit and no home has counted the attempt for it. Empty is that it may.
-func (v *driver) withholdPrefill(engine string) string {
-	if reason := v.d.cfg.Notices.Standing(engine).Reason(); reason != "" {
+// withholdPrefill returns why the prefill must not be sent to an engine now: the engine is
+// leaving or resting, or it announces a limit and no home has counted the attempt for it. It
+// returns an empty string if the prefill may be sent.
+func (d *driver) withholdPrefill(engine string) string {
+	if reason := d.dispatcher.cfg.Notices.Standing(engine).Reason(); reason != "" {
 		return reason
 	}
-	if v.prefillCounted(engine) {
+	if d.prefillCounted(engine) {
 		return ""
 	}
 	return reasonNotCounted
 }
 
-func (v *driver) prefillCounted(engine string) bool {
-	return !v.counted.Prefill && !v.d.cfg.Notices.Limited(engine) || v.counted.PrefillAt(time.Now())
+// prefillCounted reports whether the limits of the engine allow the prefill.
+func (d *driver) prefillCounted(engine string) bool {
+	return !d.counted.Prefill && !d.dispatcher.cfg.Notices.Limited(engine) || d.counted.PrefillAt(time.Now())
 }
 
-// withholdDecode says the same of an order to the attempt's decode engine. Only the first one
-// counts, so it notes that the engine is reached; what it has begun goes on.
-func (v *driver) withholdDecode(engine string) string {
-	if reason := v.d.cfg.Notices.Standing(engine).Reason(); reason != "" && !v.reached {
+// withholdDecode is like withholdPrefill, for an order to the attempt's decode engine. Only the
+// first order of an attempt counts toward the limits, so it records that the decode has
+// started; later orders of the same attempt are allowed.
+func (d *driver) withholdDecode(engine string) string {
+	if reason := d.dispatcher.cfg.Notices.Standing(engine).Reason(); reason != "" && !d.decodeStarted {
 		return reason
 	}
-	if v.decodeCounted(engine) {
+	if d.decodeCounted(engine) {
 		return ""
 	}
 	return reasonNotCounted
 }
 
-func (v *driver) decodeCounted(engine string) bool {
-	may := v.reached || !v.counted.Decode && !v.d.cfg.Notices.Limited(engine) || v.counted.DecodeAt(time.Now())
-	v.reached = v.reached || may
-	return may
+// decodeCounted reports whether the limits of the engine allow the order, and if so records
+// that the decode has started.
+func (d *driver) decodeCounted(engine string) bool {
+	allowed := d.decodeStarted || !d.counted.Decode && !d.dispatcher.cfg.Notices.Limited(engine) || d.counted.DecodeAt(time.Now())
+	d.decodeStarted = d.decodeStarted || allowed
+	return allowed
 }
 
-// leaveOut ends an order that is not sent. Another attempt may follow.
-func (v *driver) leaveOut(number uint32, engine, reason string) {
-	v.d.cfg.Log.WithFields(log.Fields{
-		log.FieldRequest: v.call.ID.String(),
+// failWithheld logs and posts an order that was not sent. Another attempt may follow.
+func (d *driver) failWithheld(number uint32, engine, reason string) {
+	d.dispatcher.cfg.Log.WithFields(log.Fields{
+		log.FieldRequest: d.call.ID.String(),
 		log.FieldAttempt: number,
 		log.FieldEngine:  engine,
 		log.FieldReason:  reason,
 	}).Info("order_failed")
-	v.call.post(failure{
+	d.call.post(failureEvent{
 		withheld: true,
 		event: lifecycle.StepFailed{
 			Attempt: number, Ran: lifecycle.NotRun, Reason: lifecycle.ReasonOverloaded, Engine: engine,
--- a/coordination/dispatch/poison.go
+++ b/coordination/dispatch/poison.go
@@ -10,18 +10,18 @@
 	"runridge.example/runridge/state/poison"
 )
 
-// A prompt that ends the engines that read it comes again under a new id, at any box. What
-// a driver remembers is gone with it, so each order to an engine asks the quarantine first:
-// without it nine tries of one prompt ended 27 engines (TestPoisonPrompt).
+// Callers retry a poison prompt under a new ID at any box, after the state of its previous
+// driver is gone. So each order to an engine asks the quarantine first. Without it, nine tries
+// of one prompt ended 27 engines (TestPoisonPrompt).
 
-// poisonRetryMS is for how long a poison request is remembered.
+// poisonRetryMS is the retry delay of a poison request: as long as the quarantine remembers it.
 const poisonRetryMS = int(poison.Keep / time.Millisecond)
 
-// stopPoison ends the request if it must reach no engine, and says whether it did.
-func (v *driver) stopPoison() bool {
-	if !v.suspect.Poisonous() {
+// stopIfPoison ends the request if it is poison, and reports whether it did.
+func (d *driver) stopIfPoison() bool {
+	if !d.suspect.Poisonous() {
 		return false
 	}
-	v.step(lifecycle.Stop{Reason: lifecycle.ReasonPoison, RetryAfterMS: poisonRetryMS})
+	d.step(lifecycle.Stop{Reason: lifecycle.ReasonPoison, RetryAfterMS: poisonRetryMS})
 	return true
 }
--- a/coordination/dispatch/repeat.go
+++ b/coordination/dispatch/repeat.go
@@ -23,31 +23,32 @@
 	Piece(ctx context.Context, id lifecycle.RequestID, from int) (dedup.Piece, bool)
 }
 
-// Owners says what is known of a request's box.
+// Owners reports whether the box that handles a request is alive.
 type Owners interface {
 	Of(ctx context.Context, id lifecycle.RequestID) owner.Verdict
 }
 
 const (
-	// joinEvery is the pause between two questions for more of an answer.
-	joinEvery = 30 * time.Millisecond
-	// joinPatience bounds how long an owner may be silent.
-	joinPatience = 3 * time.Second
+	// followInterval is the pause between two queries for more of an answer.
+	followInterval = 30 * time.Millisecond
+	// ownerTimeout limits how long the owner of an answer may be silent.
+	ownerTimeout = 3 * time.Second
 )
 
-// joined is how following another request's answer went.
-type joined uint8
+// followOutcome is the outcome of following the answer of another request.
+type followOutcome uint8
 
 const (
-	// joinedEnd means: the final word is there.
-	joinedEnd joined = iota
-	// joinedFree means: the other request did not run, so this one may.
-	joinedFree
-	// joinedLost means: the other request's fate cannot be known.
-	joinedLost
+	// followEnded means that the final outcome was received.
+	followEnded followOutcome = iota
+	// followFree means that the other request did not run, so that this one may.
+	followFree
+	// followLost means that the outcome of the other request cannot be determined.
+	followLost
 )
 
-// digest tells two requests apart that were sent under one key.
+// digest returns a hash of the request's content, to detect different requests with the same
+// key.
 func (r Request) digest() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{r.Service, r.Account, r.Prompt} {
@@ -58,119 +59,121 @@
 	return d.Sum64() + uint64(r.OutputTokens)
 }
 
-// keyBytes is the length of a record's key: enough of a SHA-256 that two
-// callers' keys do not meet.
+// keyBytes is the length of a record's key: enough of a SHA-256 that the keys of two callers do
+// not collide.
 const keyBytes = 12
 
-// recordKey names the account's key in the records.
+// recordKey returns the key of the request's record, which depends on the account and its
+// idempotency key.
 func (r Request) recordKey() string {
 	sum := sha256.Sum256([]byte(r.Account + "\x00" + r.Key))
 	return string(sum[:keyBytes])
 }
 
-// settleKey finds out whether this request is the one to run. It reports true
-// if so; else the answer stands.
-func (v *driver) settleKey() bool {
-	ctx, cancel := context.WithCancel(v.ctx)
+// claimKey claims the idempotency key and reports whether this request has to run. Otherwise it
+// has ended the request, with the answer of the request that owns the key or without one.
+func (d *driver) claimKey() bool {
+	ctx, cancel := context.WithCancel(d.ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-v.call.gone:
+		case <-d.call.gone:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	record := records.Record{
-		Key:    v.request.recordKey(),
-		Digest: v.request.digest(),
-		Owner:  v.call.ID,
-		Once:   v.request.Once,
+		Key:    d.request.recordKey(),
+		Digest: d.request.digest(),
+		Owner:  d.call.ID,
+		Once:   d.request.Once,
 	}
 	replace := lifecycle.RequestID{}
 	for ctx.Err() == nil {
-		reply := v.d.cfg.Keys.Claim(ctx, record, replace)
+		reply := d.dispatcher.cfg.Keys.Claim(ctx, record, replace)
 		switch reply.Verdict {
 		case dedup.VerdictRun:
 			return true
 		case dedup.VerdictConflict:
-			v.conclude(Answer{Phase: lifecycle.RefusedNotRun, Reason: lifecycle.ReasonKeyConflict})
+			d.finish(Answer{Phase: lifecycle.RefusedNotRun, Reason: lifecycle.ReasonKeyConflict})
 			return false
 		case dedup.VerdictUncertain:
-			v.conclude(Answer{Phase: lifecycle.Unknown, Reason: lifecycle.ReasonDuplicate})
+			d.finish(Answer{Phase: lifecycle.Unknown, Reason: lifecycle.ReasonDuplicate})
 			return false
 		case dedup.VerdictLater:
 			if ctx.Err() == nil {
-				v.conclude(Answer{Phase: lifecycle.RefusedNotRun, Reason: lifecycle.ReasonNoHome, RetryAfter: time.Second})
+				d.finish(Answer{Phase: lifecycle.RefusedNotRun, Reason: lifecycle.ReasonNoHome, RetryAfter: time.Second})
 			}
 		case dedup.VerdictJoin:
-			switch v.join(ctx, reply) {
-			case joinedEnd:
+			switch d.followAnswer(ctx, reply) {
+			case followEnded:
 				return false
-			case joinedFree:
+			case followFree:
 				replace = reply.Owner
 				continue
-			case joinedLost:
-				v.conclude(Answer{Phase: lifecycle.Unknown, Reason: lifecycle.ReasonDuplicate, Tokens: v.machine.Emitted})
+			case followLost:
+				d.finish(Answer{Phase: lifecycle.Unknown, Reason: lifecycle.ReasonDuplicate, Tokens: d.machine.Emitted})
 				return false
 			}
 		}
-		if v.answered {
+		if d.answered {
 			return false
 		}
 	}
-	v.conclude(Answer{Phase: lifecycle.Cancelled, Reason: lifecycle.ReasonCallerGone})
+	d.finish(Answer{Phase: lifecycle.Cancelled, Reason: lifecycle.ReasonCallerGone})
 	return false
 }
 
-// join follows the answer of the request that owns the key.
-func (v *driver) join(ctx context.Context, reply dedup.Reply) joined {
-	heard := time.Now()
+// followAnswer passes the answer of the request that owns the key on to the caller.
+func (d *driver) followAnswer(ctx context.Context, reply dedup.Reply) followOutcome {
+	lastReply := time.Now()
 	for ctx.Err() == nil {
-		p, ok := v.d.cfg.Keys.Piece(ctx, reply.Owner, v.machine.Emitted)
+		p, ok := d.dispatcher.cfg.Keys.Piece(ctx, reply.Owner, d.machine.Emitted)
 		if !ok {
-			if end, over := v.ownerSilent(ctx, reply, heard); over {
+			if end, over := d.ownerSilent(ctx, reply, lastReply); over {
 				return end
 			}
 			continue
 		}
-		heard = time.Now()
+		lastReply = time.Now()
 		if !p.Found {
-			return joinedLost
+			return followLost
 		}
 		for _, t := range p.Tokens {
-			v.machine.Emitted++
-			v.hand(t)
+			d.machine.Emitted++
+			d.sendToken(t)
 		}
 		if p.Ended {
-			return v.joinEnd(p)
+			return d.finishFollowing(p)
 		}
-		sleep.For(ctx, joinEvery)
+		sleep.For(ctx, followInterval)
 	}
-	return joinedLost
+	return followLost
 }
 
-// ownerSilent decides what an owner's silence means.
-func (v *driver) ownerSilent(ctx context.Context, reply dedup.Reply, heard time.Time) (joined, bool) {
-	switch v.d.cfg.Owners.Of(ctx, reply.Owner) {
+// ownerSilent determines the outcome when the owner does not answer. It returns false while the
+// owner may still answer.
+func (d *driver) ownerSilent(ctx context.Context, reply dedup.Reply, lastReply time.Time) (followOutcome, bool) {
+	switch d.dispatcher.cfg.Owners.Of(ctx, reply.Owner) {
 	case owner.Gone:
-		// It is proved that the other request has ended without an answer.
-		// One that may be repeated is, unless part of it was handed on.
-		if !reply.Once && v.machine.Emitted == 0 {
-			return joinedFree, true
+		// The other request has provably ended without an answer. If it may be repeated, this
+		// request runs instead, unless part of the answer was already sent to the caller.
+		if !reply.Once && d.machine.Emitted == 0 {
+			return followFree, true
 		}
-		return joinedLost, true
+		return followLost, true
 	case owner.There, owner.Silent:
 	}
-	return joinedLost, time.Since(heard) > joinPatience
+	return followLost, time.Since(lastReply) > ownerTimeout
 }
 
-// joinEnd takes over the other request's final word, unless that word means
+// finishFollowing ends the request with the outcome of the other one, unless that outcome means
 // that nothing ran.
-func (v *driver) joinEnd(p dedup.Piece) joined {
-	stopped := p.Phase == lifecycle.Cancelled && v.machine.Emitted == 0
-	free := p.Phase == lifecycle.RefusedNotRun || stopped && (p.Ran == lifecycle.NotRun || !v.request.Once)
+func (d *driver) finishFollowing(p dedup.Piece) followOutcome {
+	stopped := p.Phase == lifecycle.Cancelled && d.machine.Emitted == 0
+	free := p.Phase == lifecycle.RefusedNotRun || stopped && (p.Ran == lifecycle.NotRun || !d.request.Once)
 	if free {
-		return joinedFree
+		return followFree
 	}
 	phase := p.Phase
 	switch {
@@ -179,6 +182,6 @@
 	case !phase.Known():
 		phase = lifecycle.Unknown
 	}
-	v.conclude(Answer{Phase: phase, Reason: p.Reason, Tokens: v.machine.Emitted})
-	return joinedEnd
+	d.finish(Answer{Phase: phase, Reason: p.Reason, Tokens: d.machine.Emitted})
+	return followEnded
 }
--- a/coordination/dispatch/transcript.go
+++ b/coordination/dispatch/transcript.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// maxTranscripts bounds the answers kept for repeats, in bytes.
-	maxTranscripts = 4 << 20
-	// transcriptCost is the room that an answer takes beside its text.
-	transcriptCost = 256
-	// maxPiece bounds the tokens of one piece.
-	maxPiece = 512
+	// maxTranscriptBytes limits the size of the answers kept for repeats.
+	maxTranscriptBytes = 4 << 20
+	// transcriptOverhead is the size that an answer counts for in addition to its text, in
+	// bytes.
+	transcriptOverhead = 256
+	// maxPieceTokens limits the tokens of one piece.
+	maxPieceTokens = 512
 )
 
-// transcript is the answer of a request that has an idempotency key.
+// transcript is the answer of a request with an idempotency key.
 type transcript struct {
 	tokens []string
 	bytes  int
@@ -28,7 +29,7 @@
 	ended  time.Time
 }
 
-// transcripts keeps answers for requests that come again.
+// transcripts keeps answers for repeats of their requests.
 type transcripts struct {
 	mutex  sync.Mutex
 	window time.Duration
@@ -41,17 +42,17 @@
 	return &transcripts{window: window, byID: make(map[lifecycle.RequestID]*transcript)}
 }
 
-// begin opens a request's transcript.
+// begin creates the transcript of a request.
 func (t *transcripts) begin(id lifecycle.RequestID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.expire(time.Now())
-	t.byID[id] = &transcript{bytes: transcriptCost}
+	t.byID[id] = &transcript{bytes: transcriptOverhead}
 	t.order = append(t.order, id)
-	t.bytes += transcriptCost
+	t.bytes += transcriptOverhead
 }
 
-// add notes a token.
+// add appends a token.
 func (t *transcripts) add(id lifecycle.RequestID, token string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -62,7 +63,7 @@
 	}
 }
 
-// end notes the final word.
+// end records the final outcome.
 func (t *transcripts) end(id lifecycle.RequestID, a Answer) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -72,14 +73,14 @@
 	}
 }
 
-// expire drops answers that are too old, and the oldest when there are too
-// many. The mutex is held.
+// expire removes answers that are older than the window, and the oldest ones when the size
+// limit is reached. The mutex must be held.
 func (t *transcripts) expire(now time.Time) {
 	for len(t.order) > 0 {
 		id := t.order[0]
 		s := t.byID[id]
 		old := s.answer != nil && now.Sub(s.ended) > t.window
-		if !old && t.bytes < maxTranscripts {
+		if !old && t.bytes < maxTranscriptBytes {
 			return
 		}
 		t.order = t.order[1:]
@@ -88,7 +89,7 @@
 	}
 }
 
-// piece answers a box whose request is a repeat of one here.
+// piece returns the part of an answer that another box asks for.
 func (t *transcripts) piece(j dedup.Join) dedup.Piece {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -98,7 +99,7 @@
 		return p
 	}
 	p.Found = true
-	p.Tokens = append(p.Tokens, s.tokens[j.From:min(j.From+maxPiece, len(s.tokens))]...)
+	p.Tokens = append(p.Tokens, s.tokens[j.From:min(j.From+maxPieceTokens, len(s.tokens))]...)
 	if s.answer != nil && j.From+len(p.Tokens) == len(s.tokens) {
 		p.Ended = true
 		p.Phase, p.Ran, p.Reason = s.answer.Phase, s.answer.Ran, s.answer.Reason
