--- a/coordination/dispatch/ask.go
+++ b/coordination/dispatch/ask.go
@@ -174,7 +174,7 @@
 }
 
 // returnSecondGrant returns a second grant for an attempt, because two boxes may briefly act as
-// home of a group. A duplicate of the grant from the same home stands.
+// home of a group. A duplicate of the grant from the same home is ignored.
 func (d *driver) returnSecondGrant(g grantEvent) {
 	if g.id.Number == d.machine.Attempt && g.home == d.home {
 		return
--- a/coordination/relay/late_test.go
+++ b/coordination/relay/late_test.go
@@ -12,13 +12,13 @@
 )
 
 func TestAgeOfReturningCallers(t *testing.T) {
-	const whole = 14 * time.Second
+	const fullWait = 14 * time.Second
 	cases := map[string]struct {
 		route string
 		wait  time.Duration
 		want  time.Duration
 	}{
-		"first try":                                {route: "a", wait: whole},
+		"first try":                                {route: "a", wait: fullWait},
 		"retry with less time left":                {route: "a", wait: 9500 * time.Millisecond, want: 4500 * time.Millisecond},
 		"wait not stated":                          {route: "a"},
 		"first caller of another route":            {route: "b", wait: 3 * time.Second},
@@ -29,8 +29,8 @@
 		t.Run(name, func(t *testing.T) {
 			r := New(Config{Log: log.Discard()})
 			for range 2 {
-				r.noteWait("a", whole)
-				r.noteWait("c", whole)
+				r.noteWait("a", fullWait)
+				r.noteWait("c", fullWait)
 				r.noteWait("c", 6*time.Second)
 			}
 			if got := r.noteWait(c.route, c.wait); got != c.want {
--- a/coordination/relay/run.go
+++ b/coordination/relay/run.go
@@ -27,7 +27,8 @@
 	decisionQueueSize = 8
 	// maxSends limits how many endpoints one request is sent to, whatever they answer.
 	maxSends = 4
-	// notReadyRetry is the retry delay for callers of a box that has no table yet.
+	// notReadyRetry is the retry delay for callers of a box that has no table yet, and for
+	// requests that no group can take.
 	notReadyRetry = 300 * time.Millisecond
 	// minRetryAfter is the minimum retry delay in a refusal.
 	minRetryAfter = 100 * time.Millisecond
--- a/coordination/relay/slow_test.go
+++ b/coordination/relay/slow_test.go
@@ -12,7 +12,7 @@
 	"runridge.example/runridge/modules/log"
 )
 
-func TestHoldUp(t *testing.T) {
+func TestCallerStall(t *testing.T) {
 	const instant = time.Millisecond
 	type step struct {
 		write, read time.Duration
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestPartial(t *testing.T) {
+func TestPartialEvent(t *testing.T) {
 	budget := held.New(held.Config{Bytes: 3 * unreservedBytes, Log: log.Discard()})
 	p := partialEvent{hold: budget.Open(held.Answer, "", nil)}
 	piece := bytes.Repeat([]byte("e"), pieceSize)
