--- a/state/lifecycle/machine.go
+++ b/state/lifecycle/machine.go
@@ -5,39 +5,42 @@
 
 import "slices"
 
-// Machine is the state of one request. It is a value: Step returns the next
-// one and leaves the old as it was.
+// Machine is the state of one request. It is an immutable value: Step returns
+// the next state and does not modify its receiver.
 type Machine struct {
-	// Once marks a request that may run at most once.
+	// Once marks a request that must not be repeated: it runs at most once.
 	Once bool
-	// MaxAttempts bounds the attempts; below one counts as one.
+	// MaxAttempts is the maximum number of attempts; values below 1 mean 1.
 	MaxAttempts uint32
 
 	Phase   Phase
 	Attempt uint32
 	Plan    Plan
-	// Emitted is how many tokens have been delivered to the caller.
+	// Emitted is the number of tokens delivered to the caller.
 	Emitted int
-	// Ran is what is known over all attempts.
+	// Ran is what is known about all attempts together.
 	Ran Ran
-	// Holds is what engines may still keep, entered before each order.
+	// Holds lists the memory that engines may still keep for the request. A hold
+	// is added before the order that creates it is sent.
 	Holds []Hold
-	// Kept is the hold of a finished prefill that may still be used; its
-	// Engine is empty when there is none.
+	// Kept is the hold of a finished prefill whose result can still be used; its
+	// Engine is empty if there is none.
 	Kept Hold
-	// Avoid names the engines that attempts failed on.
+	// Avoid lists the engines on which attempts failed.
 	Avoid []string
 	// granted is true while the home counts a grant for Attempt.
 	granted bool
 }
 
-// New starts the life of a request. The first effect is always to ask the home.
+// New returns the state of a new request and its first effects, which ask the
+// home for a plan.
 func New(once bool, maxAttempts uint32) (Machine, []Effect) {
 	return Machine{Once: once, MaxAttempts: maxAttempts}, []Effect{AskHome{}}
 }
 
-// Step takes one event. Events of older attempts and events that do not fit
-// the phase change nothing: late and crossed answers are dropped here.
+// Step returns the state after an event and the effects that the driver must
+// carry out. Events of other attempts and events that do not fit the phase
+// change nothing, so late and reordered answers are dropped here.
 func (m Machine) Step(e Event) (Machine, []Effect) {
 	if r, ok := e.(Released); ok {
 		return m.withoutHold(r.Hold), nil
@@ -47,7 +50,7 @@
 	}
 	switch ev := e.(type) {
 	case Granted:
-		return m.granting(ev)
+		return m.grantReceived(ev)
 	case Refused:
 		return m.refused(ev)
 	case Started:
@@ -65,12 +68,12 @@
 	case CallerGone:
 		return m.end(Cancelled, ReasonCallerGone, 0)
 	case Stop:
-		return m.end(m.truthfulEnd(), ev.Reason, ev.RetryAfterMS)
+		return m.end(m.provenEnd(), ev.Reason, ev.RetryAfterMS)
 	}
 	return m, nil
 }
 
-// afterEnd gives back a grant that came after the request had ended.
+// afterEnd returns a grant that arrives after the request has ended.
 func (m Machine) afterEnd(e Event) (Machine, []Effect) {
 	if _, late := e.(Granted); late && !m.granted {
 		return m, []Effect{ReturnGrant{Attempt: m.Attempt + 1}}
@@ -78,7 +81,7 @@
 	return m, nil
 }
 
-func (m Machine) granting(ev Granted) (Machine, []Effect) {
+func (m Machine) grantReceived(ev Granted) (Machine, []Effect) {
 	if m.Phase != Received {
 		return m, nil
 	}
@@ -98,10 +101,10 @@
 	return m, append(effects, StartPrefill{Attempt: m.Attempt, Engine: ev.Plan.Prefill})
 }
 
-// reuse goes straight to the transfer of a result that is still kept.
+// reuse starts with the transfer of a kept result, without a prefill.
 func (m Machine) reuse() (Machine, []Effect) {
 	if m.Kept.Engine != m.Plan.Prefill || m.Plan.Decode == "" {
-		// The home's word does not fit what is kept; nothing was sent.
+		// The home's plan does not match the kept result; no order was sent.
 		failed := StepFailed{Attempt: m.Attempt, Ran: NotRun, Reason: ReasonEngine, Gone: true, Retry: true}
 		return m.stepFailed(failed)
 	}
@@ -113,7 +116,7 @@
 	return StartMove{Attempt: m.Attempt, From: m.Plan.Prefill, To: m.Plan.Decode, Source: m.Kept.Attempt}
 }
 
-// dropKept frees a kept result that the new plan does not use.
+// dropKept releases a kept result that the new plan does not use.
 func (m Machine) dropKept() (Machine, []Effect) {
 	if m.Kept.Engine == "" {
 		return m, nil
@@ -127,10 +130,11 @@
 	if m.Phase != Received {
 		return m, nil
 	}
-	return m.end(m.truthfulEnd(), ev.Reason, ev.RetryAfterMS)
+	return m.end(m.provenEnd(), ev.Reason, ev.RetryAfterMS)
 }
 
-// started records, before the first byte leaves, that the attempt may run.
+// started records that the attempt may run, before the first byte of its order
+// is sent.
 func (m Machine) started(ev Started) (Machine, []Effect) {
 	if ev.Attempt != m.Attempt || m.Phase != Admitted {
 		return m, nil
@@ -157,11 +161,12 @@
 	if m.Plan.Decode == "" {
 		return m, []Effect{report}
 	}
-	m, effects := m.leavePrefill()
+	m, effects := m.continueOnDecode()
 	return m, append([]Effect{report}, effects...)
 }
 
-// slotReady fills in the decode engine; it may come before the prefill ends.
+// slotReady sets the plan's decode engine. The event may arrive before the
+// prefill ends.
 func (m Machine) slotReady(ev SlotReady) (Machine, []Effect) {
 	open := m.Phase == Admitted || m.Phase == Prefilling || m.Phase == Prefilled
 	if ev.Attempt != m.Attempt || m.Plan.Decode != "" || !open {
@@ -171,11 +176,12 @@
 	if m.Phase != Prefilled {
 		return m, nil
 	}
-	return m.leavePrefill()
+	return m.continueOnDecode()
 }
 
-// leavePrefill goes on from a finished prefill to the decode engine.
-func (m Machine) leavePrefill() (Machine, []Effect) {
+// continueOnDecode starts the step after a finished prefill: the transfer to the
+// decode engine, or generation if it is the same engine.
+func (m Machine) continueOnDecode() (Machine, []Effect) {
 	if m.Plan.Prefill == m.Plan.Decode {
 		m.Phase = SameEngine
 		return m, []Effect{m.decodeOrder()}
@@ -190,9 +196,9 @@
 		return m, nil
 	}
 	m.Phase = Decoding
-	// The prefill engine's copy stays until the end or its own expiry: if the
-	// decode engine dies, the answer goes on from it and nothing is computed
-	// twice.
+	// The prefill engine's copy stays until the request ends or the copy expires:
+	// if the decode engine dies, another one continues from the copy and no
+	// prefill is repeated.
 	return m, []Effect{m.decodeOrder()}
 }
 
@@ -211,7 +217,7 @@
 		return m, nil
 	}
 	if ev.Index > m.Emitted {
-		// A gap: what follows would not be the whole answer.
+		// A token is missing, so the answer would be incomplete.
 		failed := StepFailed{Attempt: m.Attempt, Ran: DidRun, Reason: ReasonEngine, Engine: m.Plan.Decode, Retry: true}
 		return m.stepFailed(failed)
 	}
@@ -234,12 +240,12 @@
 		return m, nil
 	}
 	m.Ran = max(m.Ran, ev.Ran)
-	again := ev.Retry && m.Attempt < max(m.MaxAttempts, 1)
+	retry := ev.Retry && m.Attempt < max(m.MaxAttempts, 1)
 	if m.Once && m.Ran != NotRun {
-		again = false
+		retry = false
 	}
-	if !again {
-		return m.end(m.truthfulEnd(), ev.Reason, ev.RetryAfterMS)
+	if !retry {
+		return m.end(m.provenEnd(), ev.Reason, ev.RetryAfterMS)
 	}
 	if ev.Engine != "" && !slices.Contains(m.Avoid, ev.Engine) {
 		m.Avoid = append(slices.Clone(m.Avoid), ev.Engine)
@@ -247,15 +253,16 @@
 	if ev.Gone || ev.Engine == m.Kept.Engine {
 		m.Kept = Hold{}
 	}
-	effects := m.leaveAttempt(false)
+	effects := m.cleanupEffects(false)
 	m.granted = false
 	m.Phase = Received
 	return m, append(effects, AskHome{Emitted: m.Emitted, Avoid: m.Avoid, Kept: m.Kept.Engine})
 }
 
-// truthfulEnd is the end that says no more than is known.
-func (m Machine) truthfulEnd() Phase {
-	// An order under way may run although nothing was heard of it.
+// provenEnd returns the final phase of an unfinished request: it claims no more
+// than is known about whether the request ran.
+func (m Machine) provenEnd() Phase {
+	// An order in flight may run even if no answer to it was received.
 	inFlight := m.Phase > Admitted && m.Phase < Finished
 	switch {
 	case m.Ran == DidRun:
@@ -267,17 +274,17 @@
 	}
 }
 
-// end gives the final answer and frees everything.
+// end answers the caller with a final phase and releases everything.
 func (m Machine) end(p Phase, reason Reason, retryAfterMS int) (Machine, []Effect) {
 	m.Kept = Hold{}
-	effects := m.leaveAttempt(p == Finished)
+	effects := m.cleanupEffects(p == Finished)
 	m.granted = false
 	m.Phase = p
 	return m, append(effects, Answer{Phase: p, Reason: reason, RetryAfterMS: retryAfterMS})
 }
 
-// leaveAttempt lists what has to be undone when an attempt is over.
-func (m Machine) leaveAttempt(finished bool) []Effect {
+// cleanupEffects returns the effects that undo what an attempt left behind.
+func (m Machine) cleanupEffects(finished bool) []Effect {
 	var effects []Effect
 	if m.Phase == Received {
 		effects = append(effects, Withdraw{})
--- a/state/lifecycle/machine_test.go
+++ b/state/lifecycle/machine_test.go
@@ -18,27 +18,27 @@
 	os.Exit(seed.Run(m, 5000))
 }
 
-// world plays the driver, the home and the engines against one machine, and
-// keeps what a simple oracle needs.
-type world struct {
+// simulation acts as the driver, the home and the engines of one machine, and
+// records what the oracle compares.
+type simulation struct {
 	m Machine
 	// answers counts final answers; delivered is the tokens in order.
 	answers   int
 	delivered []int
-	// ran is, for each attempt whose order left, whether an engine worked on
-	// it: drawn when the order leaves, hidden from the machine.
+	// ran is, for each attempt whose order was sent, whether an engine worked on
+	// it. It is drawn when the order is sent and hidden from the machine.
 	ran map[uint32]bool
-	t   *rapid.T
-	// held is what engines may hold; released what was told to be freed.
+	rt  *rapid.T
+	// held lists what engines may hold, and released what they were asked to free.
 	held, released map[Hold]bool
 	order          Effect
 	granted        map[uint32]bool
 	asking         bool
 }
 
-func newWorld(t *rapid.T, once bool, attempts uint32) *world {
-	w := &world{
-		t:    t,
+func newSimulation(t *rapid.T, once bool, attempts uint32) *simulation {
+	w := &simulation{
+		rt:   t,
 		ran:  make(map[uint32]bool),
 		held: make(map[Hold]bool), released: make(map[Hold]bool),
 		granted: make(map[uint32]bool),
@@ -49,13 +49,13 @@
 	return w
 }
 
-func (w *world) step(e Event) {
+func (w *simulation) step(e Event) {
 	m, effects := w.m.Step(e)
 	w.m = m
 	w.perform(effects)
 }
 
-func (w *world) perform(effects []Effect) {
+func (w *simulation) perform(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case AskHome:
@@ -71,7 +71,7 @@
 		case Deliver:
 			w.delivered = append(w.delivered, e.Token.Index)
 			if e.Token.Attempt != w.m.Attempt {
-				w.t.Fatalf("delivered a token of attempt %d in attempt %d", e.Token.Attempt, w.m.Attempt)
+				w.rt.Fatalf("delivered a token of attempt %d in attempt %d", e.Token.Attempt, w.m.Attempt)
 			}
 		case Release:
 			w.released[e.Hold] = true
@@ -83,16 +83,17 @@
 	}
 }
 
-// start sends an order: from here on the engine may hold something.
-func (w *world) start(order Effect, h Hold) {
+// start sends an order. From then on the engine may hold memory.
+func (w *simulation) start(order Effect, h Hold) {
 	w.order = order
 	w.held[h] = true
-	w.ran[h.Attempt] = w.ran[h.Attempt] || rapid.Bool().Draw(w.t, "really ran")
+	w.ran[h.Attempt] = w.ran[h.Attempt] || rapid.Bool().Draw(w.rt, "really ran")
 	w.step(Started{Attempt: h.Attempt})
 }
 
-// random makes an event that may be late, crossed or out of place.
-func (w *world) random(t *rapid.T) Event {
+// randomEvent draws an event that may be late, out of order or unexpected in
+// the machine's phase.
+func (w *simulation) randomEvent(t *rapid.T) Event {
 	attempt := w.m.Attempt
 	if rapid.IntRange(0, 4).Draw(t, "crossed") == 0 {
 		attempt = rapid.Uint32Range(0, w.m.Attempt+1).Draw(t, "attempt")
@@ -103,7 +104,7 @@
 	if w.ran[attempt] {
 		lowest = MayHaveRun
 	}
-	// Events that end a request are rare, so that runs get long.
+	// Events that end a request are rare, so that a run has many steps.
 	kind := rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 2, 3, 4, 4, 5, 5, 5, 6, 6, 7, 7, 7, 8, 9}).Draw(t, "event")
 	if answered := kind == 2 || kind == 4 || kind == 5 || kind == 6; answered && !w.ran[attempt] {
 		// An engine that did not run the order does not answer it.
@@ -142,11 +143,11 @@
 func TestMachineAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		once := rapid.Bool().Draw(t, "once")
-		w := newWorld(t, once, rapid.Uint32Range(1, 4).Draw(t, "attempts"))
+		w := newSimulation(t, once, rapid.Uint32Range(1, 4).Draw(t, "attempts"))
 		retriedAfterRun := false
 		steps := rapid.IntRange(1, 40).Draw(t, "steps")
 		for range steps {
-			e := w.random(t)
+			e := w.randomEvent(t)
 			before := w.m
 			w.step(e)
 			if once && w.m.Attempt > before.Attempt && w.ran[before.Attempt] {
@@ -160,16 +161,16 @@
 			t.Fatalf("%d final answers, phase %v", w.answers, w.m.Phase)
 		}
 		if retriedAfterRun {
-			t.Fatal("a request that must not be repeated was tried again after it may have run")
+			t.Fatal("a request that must not be repeated was retried after it may have run")
 		}
 		w.checkEnd(t)
 	})
 }
 
-// check is what must hold after every event.
-func (w *world) check(t *rapid.T) {
+// check fails the test if an invariant does not hold after an event.
+func (w *simulation) check(t *rapid.T) {
 	if w.answers > 1 {
-		t.Fatal("answered twice")
+		t.Fatal("the caller was answered twice")
 	}
 	for i, index := range w.delivered {
 		if i != index {
@@ -178,13 +179,13 @@
 	}
 	for attempt, ran := range w.ran {
 		if ran && w.m.Phase == RefusedNotRun {
-			t.Fatalf("said not run, but attempt %d ran", attempt)
+			t.Fatalf("refused as not run, but attempt %d ran", attempt)
 		}
 	}
 }
 
-// checkEnd is what must hold when the request has ended.
-func (w *world) checkEnd(t *rapid.T) {
+// checkEnd fails the test if a hold or a grant is left after the request has ended.
+func (w *simulation) checkEnd(t *rapid.T) {
 	for h := range w.held {
 		finished := w.m.Phase == Finished && h.Engine == w.m.Plan.Decode && h.Attempt == w.m.Attempt
 		if !w.released[h] && !finished {
--- a/state/lifecycle/types.go
+++ b/state/lifecycle/types.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package lifecycle is the life of one request as a pure state machine:
-// events in, effects out, no clock and no I/O. The box that took the request
-// drives it; the model in model/ checks the same rules.
+// Package lifecycle implements the life of one request as a pure state machine:
+// events in, effects out, no clock and no I/O. The box that received the request
+// drives it. The model in model/ checks the same rules.
 package lifecycle
 
 import (
@@ -12,27 +12,30 @@
 	"strings"
 )
 
-// RequestID names a request in the whole system.
+// RequestID identifies a request across the whole system.
 type RequestID struct {
-	// Box and Incarnation name the process that owns the request.
+	// Box and Incarnation identify the process that owns the request.
 	Box         string
 	Incarnation uint64
-	// Sequence counts the requests of that process.
+	// Sequence is the request's number within that process.
 	Sequence uint64
 }
 
-// SequenceBits is the room for a process's requests in the packed form; the
-// dispatcher's count wraps there, long after the old request is over.
+// SequenceBits is the number of bits of the sequence in the packed form. The
+// dispatcher's counter wraps around at this size, long after the earlier request
+// with the same number has ended.
 const SequenceBits = 23
 
-// Packed is the sequence and what fits of the incarnation, for the wire: the
-// box at the one end of a connection is known, and its process nearly so.
+// Packed returns the sequence and the low bits of the incarnation, for the wire:
+// the receiver knows the box from the connection and needs these bits only to
+// tell its present process from an earlier one.
 func (r RequestID) Packed() uint32 {
 	return uint32(r.Incarnation<<SequenceBits) | uint32(r.Sequence&(1<<SequenceBits-1))
 }
 
-// Unpack reads the form that Packed gives for a request of the box's present
-// process, or of an earlier one, which gets an incarnation that none has.
+// Unpack returns the ID that Packed encoded. incarnation is that of the box's
+// present process; a request of an earlier process gets incarnation 0, which no
+// process has.
 func Unpack(box string, incarnation uint64, packed uint32) RequestID {
 	id := RequestID{Box: box, Incarnation: incarnation, Sequence: uint64(packed & (1<<SequenceBits - 1))}
 	if id.Packed() != packed {
@@ -41,19 +44,19 @@
 	return id
 }
 
-// String gives the form that travels in headers and logs.
+// String returns the form used in headers and logs.
 func (r RequestID) String() string {
 	return r.Box + "~" + strconv.FormatUint(r.Incarnation, 36) + "~" + strconv.FormatUint(r.Sequence, 36)
 }
 
-// AttemptID names one attempt at a request. Engines echo it in every answer
-// and keep what they hold under it.
+// AttemptID identifies one attempt of a request. Engines echo it in every answer
+// and use it as the key of the memory that they hold for the attempt.
 type AttemptID struct {
 	Request RequestID
 	Number  uint32
 }
 
-// String gives the form that travels to engines.
+// String returns the form that is sent to engines.
 func (a AttemptID) String() string {
 	return a.Request.String() + "~" + strconv.FormatUint(uint64(a.Number), 10)
 }
@@ -61,7 +64,8 @@
 // attemptParts is the number of fields in an attempt's text form.
 const attemptParts = 4
 
-// ParseAttemptID reads the form that String gives.
+// ParseAttemptID parses the form that String returns. It returns an error if a
+// part is missing or is not a number.
 func ParseAttemptID(s string) (AttemptID, error) {
 	parts := strings.Split(s, "~")
 	if len(parts) != attemptParts || parts[0] == "" {
@@ -83,10 +87,10 @@
 	return AttemptID{Request: id, Number: uint32(number)}, nil
 }
 
-// Phase is where a request stands.
+// Phase is the stage that a request has reached.
 type Phase uint8
 
-// The phases, in the order in which a request usually meets them.
+// The phases, in the order in which a request usually passes them.
 const (
 	Received Phase = iota
 	Admitted
@@ -108,7 +112,7 @@
 	"decoding", "finished", "cancelled", "not_run", "unknown", "failed",
 }
 
-// String gives the phase's name as it stands in logs and refusals.
+// String returns the phase's name as used in logs and refusals.
 func (p Phase) String() string {
 	if !p.Known() {
 		return "phase_of_a_later_build"
@@ -116,10 +120,10 @@
 	return phaseNames[p]
 }
 
-// Known says whether this build has the phase: another box may run a later one.
+// Known reports whether this build has the phase: another box may run a later build.
 func (p Phase) Known() bool { return int(p) < len(phaseNames) }
 
-// Ended says whether the request has its final answer.
+// Ended reports whether the request has its final answer.
 func (p Phase) Ended() bool {
 	return p >= Finished
 }
@@ -128,43 +132,43 @@
 type Ran uint8
 
 const (
-	// NotRun means: proved that no engine did.
+	// NotRun means that provably no engine worked on it.
 	NotRun Ran = iota
-	// MayHaveRun means: an order left and its fate is not known.
+	// MayHaveRun means that an order was sent and its outcome is unknown.
 	MayHaveRun
-	// DidRun means: an engine said so.
+	// DidRun means that an engine confirmed it.
 	DidRun
 )
 
-// Mode is how the decode engine comes to the prompt's KV cache.
+// Mode is how the decode engine gets the prompt's KV cache.
 type Mode uint8
 
 const (
-	// Move means: prefill on one engine, then move the result.
+	// Move computes the prefill on one engine and transfers the result.
 	Move Mode = iota
-	// Recompute means: the decode engine computes the prefill itself.
+	// Recompute lets the decode engine compute the prefill itself.
 	Recompute
 )
 
-// Plan is what the home of a group decided for one attempt.
+// Plan is the decision of a group's home for one attempt.
 type Plan struct {
 	Mode Mode
 	// Prefill is the engine that computes the prefill; empty for Recompute.
 	Prefill string
 	// Decode is the engine that generates; empty until SlotReady names it.
 	Decode string
-	// Reuse says that Prefill still keeps the result of an earlier attempt,
-	// so that nothing has to be computed.
+	// Reuse means that Prefill still keeps the result of an earlier attempt, so
+	// no prefill is needed.
 	Reuse bool
 }
 
-// Hold is something that an engine may keep in memory for an attempt.
+// Hold identifies engine memory that may be kept for an attempt.
 type Hold struct {
 	Engine  string
 	Attempt uint32
 }
 
-// Reason says in one word why a request ended as it did.
+// Reason is a short code for why a request ended.
 type Reason string
 
 // Reasons given to callers.
@@ -184,73 +188,76 @@
 	ReasonDuplicate    Reason = "duplicate"
 	ReasonKeyConflict  Reason = "key_used_for_another_request"
 	ReasonPoison       Reason = "poison_request"
-	// ReasonMoved is between boxes only: the group has another home now.
+	// ReasonMoved is used only between boxes: the group has another home now.
 	ReasonMoved Reason = "home_moved"
 )
 
-// Event is what happened. Exactly one of the types in this file.
+// Event is an input of Machine.Step. It is one of the types below that have an
+// event method.
 type Event interface{ event() }
 
-// Granted means: the home admitted the request with a plan.
+// Granted reports that the home admitted the request with a plan.
 type Granted struct{ Plan Plan }
 
-// Refused means: the home, or the box itself, will not run the request.
+// Refused reports that the home, or the box itself, will not run the request.
 type Refused struct {
 	Reason       Reason
 	RetryAfterMS int
 }
 
-// Started means: the first order of the attempt is about to leave.
+// Started reports that the first order of the attempt is about to be sent.
 type Started struct{ Attempt uint32 }
 
-// PrefillDone means: the prefill engine holds the result.
+// PrefillDone reports that the prefill engine holds the result.
 type PrefillDone struct{ Attempt uint32 }
 
-// SlotReady means: the home names the decode engine of a plan that left it open.
+// SlotReady carries the decode engine that the home chose for a plan that came
+// without one.
 type SlotReady struct {
 	Attempt uint32
 	Decode  string
 }
 
-// MoveDone means: the decode engine holds the result.
+// MoveDone reports that the decode engine holds the result.
 type MoveDone struct{ Attempt uint32 }
 
 // Token is one generated token.
 type Token struct {
 	Attempt uint32
-	// Index counts from 0 over the whole answer.
+	// Index is the token's position in the whole answer, from 0.
 	Index int
 	Text  string
-	// Last marks the end of the answer.
+	// Last marks the final token of the answer.
 	Last bool
 }
 
-// StepFailed means: the order under way failed.
+// StepFailed reports that the order in flight failed.
 type StepFailed struct {
 	Attempt uint32
 	// Ran is what the failure proves about that order alone.
 	Ran    Ran
 	Reason Reason
-	// Engine is the one to blame.
+	// Engine is the engine that caused the failure; later attempts avoid it.
 	Engine string
-	// Gone says that the prefill result is not kept any more.
+	// Gone means that the prefill result is no longer kept.
 	Gone bool
-	// Retry says that the retry budget allows another attempt.
+	// Retry means that the retry budget allows another attempt.
 	Retry bool
-	// RetryAfterMS goes to the caller if the request ends here.
+	// RetryAfterMS is sent to the caller if the request ends here.
 	RetryAfterMS int
 }
 
-// CallerGone means: the caller's connection is gone.
+// CallerGone reports that the caller's connection was closed.
 type CallerGone struct{}
 
-// Stop ends the request from outside: deadline, removed route, forced stop.
+// Stop ends the request for an external reason: its deadline, a removed route or
+// a forced stop.
 type Stop struct {
 	Reason       Reason
 	RetryAfterMS int
 }
 
-// Released means: an engine acknowledged that it keeps nothing for a hold.
+// Released reports that an engine acknowledged the release of a hold.
 type Released struct{ Hold Hold }
 
 func (Granted) event()     {}
@@ -265,26 +272,27 @@
 func (Stop) event()        {}
 func (Released) event()    {}
 
-// Effect is what the driver must do. Exactly one of the types below.
+// Effect is an action that the driver must carry out. It is one of the types
+// below.
 type Effect interface{ effect() }
 
 // AskHome asks the home for a plan for the next attempt.
 type AskHome struct {
-	// Emitted is how many tokens the caller already has.
+	// Emitted is the number of tokens that the caller already has.
 	Emitted int
-	// Avoid names the engines that earlier attempts failed on.
+	// Avoid lists the engines on which earlier attempts failed.
 	Avoid []string
-	// Kept is the engine that still keeps a prefill result, if one does.
+	// Kept is the engine that still keeps a prefill result; empty if none does.
 	Kept string
 }
 
-// Withdraw takes back the question to the home.
+// Withdraw cancels the pending request to the home for a plan.
 type Withdraw struct{}
 
-// ReportPrefilled tells the home that the prefill engine is done.
+// ReportPrefilled notifies the home that the prefill engine has finished.
 type ReportPrefilled struct{ Attempt uint32 }
 
-// StartPrefill orders the prefill.
+// StartPrefill orders an engine to compute the prefill.
 type StartPrefill struct {
 	Attempt uint32
 	Engine  string
@@ -294,35 +302,35 @@
 type StartMove struct {
 	Attempt  uint32
 	From, To string
-	// Source is the attempt that the result was computed under.
+	// Source is the attempt in which the result was computed.
 	Source uint32
 }
 
-// StartDecode orders generation from token Emitted on.
+// StartDecode orders an engine to generate, starting at token Emitted.
 type StartDecode struct {
 	Attempt uint32
 	Engine  string
 	Emitted int
-	// Recompute asks the engine to compute the prefill itself.
+	// Recompute makes the engine compute the prefill itself.
 	Recompute bool
 }
 
-// Deliver hands one token to the caller.
+// Deliver sends one token to the caller.
 type Deliver struct{ Token Token }
 
-// StopWork abandons the order under way, if there is one.
+// StopWork cancels the order in flight, if there is one.
 type StopWork struct{ Attempt uint32 }
 
-// Release frees what an engine may hold, until it acknowledges.
+// Release asks an engine to free a hold, repeatedly until it acknowledges.
 type Release struct{ Hold Hold }
 
-// ReturnGrant tells the home that the attempt is over.
+// ReturnGrant notifies the home that the attempt has ended.
 type ReturnGrant struct {
 	Attempt  uint32
 	Finished bool
 }
 
-// Answer is the final word to the caller; it comes exactly once.
+// Answer is the final answer to the caller; each request has exactly one.
 type Answer struct {
 	Phase        Phase
 	Reason       Reason
--- a/state/lifecycle/types_test.go
+++ b/state/lifecycle/types_test.go
@@ -5,7 +5,8 @@
 
 import "testing"
 
-// TestPhaseOfALaterBuild holds that a phase which another box's build has can be named here.
+// TestPhaseOfALaterBuild checks that a phase which only a later build knows is reported
+// as unknown and still has a name.
 func TestPhaseOfALaterBuild(t *testing.T) {
 	cases := map[string]struct {
 		phase Phase
