--- a/state/member/established.go
+++ b/state/member/established.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// youngBy is how much later than the median box one has to have started to
-// count as young.
-const youngBy = 5 * time.Second
+// youngThreshold is how much later than the median a box must have started to count
+// as young.
+const youngThreshold = 5 * time.Second
 
-// Established lists the names of the boxes that duties are best given to: all but
-// those that started well after half of the others. A duty that went back to
-// each box as it returns would move twice in every restart. Start is in
-// milliseconds; a box whose start is not known yet counts as settled, or boxes
-// that hear of each other in different orders would not agree.
+// Established lists the names of the boxes that are preferred for duties: all but
+// those that started well after half of the others. If duties returned to each
+// box after its restart, every restart would move them twice. A box whose start is
+// not known yet counts as established; otherwise boxes that learn of each other in
+// different orders would not agree. Box.Start is in milliseconds.
 func Established(boxes []Box) []string {
 	middle := medianStart(boxes)
 	out := make([]string, 0, len(boxes))
 	for _, b := range boxes {
-		if b.Start <= middle+uint64(youngBy.Milliseconds()) {
+		if b.Start <= middle+uint64(youngThreshold.Milliseconds()) {
 			out = append(out, b.Name)
 		}
 	}
 	return out
 }
 
-// medianStart is the lower median of the starts that are known; 0 if none is.
+// medianStart returns the lower median of the known starts; 0 if none is known.
 func medianStart(boxes []Box) uint64 {
 	starts := make([]uint64, 0, len(boxes))
 	for _, b := range boxes {
--- a/state/member/measured_test.go
+++ b/state/member/measured_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestMeasured holds that the round trip of a probe is known once after its target
-// has answered, and that an answer by way of another box tells nothing.
+// TestMeasured checks that the round trip of a probe is returned once after its target
+// has answered, and that an answer through another box is not measured.
 func TestMeasured(t *testing.T) {
 	cases := map[string]struct {
 		from   string
@@ -17,9 +17,9 @@
 		want   time.Duration
 	}{
 		"the target answers":         {from: "b", answer: Message{Kind: Ack, Sequence: 1}, want: 41 * time.Millisecond},
-		"by way of another box":      {from: "c", answer: Message{Kind: Ack, Sequence: 1, For: "b"}},
+		"through another box":        {from: "c", answer: Message{Kind: Ack, Sequence: 1, For: "b"}},
 		"an answer to another probe": {from: "b", answer: Message{Kind: Ack, Sequence: 9}},
-		"a probe of the other's own": {from: "b", answer: Message{Kind: Ping, Sequence: 1}},
+		"a probe by the other box":   {from: "b", answer: Message{Kind: Ping, Sequence: 1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/state/member/member.go
+++ b/state/member/member.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package member is one box's view of the others: who is live, suspected,
-// dead or leaving. It follows the SWIM protocol (Das, Gupta, Motivala, 2002):
-// one probe a period, indirect probes through a few others, suspicion before
-// death, and updates carried on the probes. It does no I/O and takes the time as
-// an argument.
+// Package member holds one box's view of the other boxes: which are live,
+// suspected, dead or leaving. It follows the SWIM protocol (Das, Gupta, Motivala,
+// 2002): one probe per period, indirect probes through a few others, suspicion
+// before death, and updates piggybacked on the probes. It does no I/O and takes
+// the time as an argument.
 package member
 
 import (
@@ -19,20 +19,21 @@
 // State of a box in a view.
 type State uint8
 
-// States; of two words with the same incarnation the higher one wins.
+// The states of a box. Of two updates with the same incarnation the one with the
+// higher state wins.
 const (
 	Live State = iota
-	// Leaving boxes still serve what they have and take no new duties.
+	// Leaving boxes finish the work that they have and get no new duties.
 	Leaving
-	// Suspect boxes did not answer; they keep their duties for a while.
+	// Suspect boxes did not answer a probe; they keep their duties for a while.
 	Suspect
-	// Dead boxes lose their duties. It is no proof that the process is gone.
+	// Dead boxes lose their duties. The state does not prove that the process has ended.
 	Dead
 )
 
 var stateNames = [...]string{"live", "leaving", "suspect", "dead"}
 
-// String gives the state's name.
+// String returns the state's name.
 func (s State) String() string {
 	if int(s) >= len(stateNames) {
 		return "unknown"
@@ -45,14 +46,15 @@
 	Name    string
 	Address string
 	Zone    string
-	// Start tells this process from earlier ones of the same name.
+	// Start is the process's start time in Unix milliseconds; it distinguishes the
+	// process from earlier ones of the same name. 0 means not known.
 	Start uint64
-	// Incarnation is chosen by the box itself, Start at first; only a higher
+	// Incarnation is chosen by the box itself and begins at Start; only a higher
 	// one clears a suspicion.
 	Incarnation uint64
 	State       State
-	// Wire is the version of messages that this process reads, as it says itself; 0 is not
-	// said.
+	// Wire is the version of messages that this process reports to read; 0 means not
+	// reported.
 	Wire uint16
 }
 
@@ -63,27 +65,28 @@
 	Period time.Duration
 	// Timeout is how long an answer to a direct probe may take.
 	Timeout time.Duration
-	// Indirect is how many others are asked to probe for us.
+	// Indirect is the number of boxes that are asked to probe a silent box.
 	Indirect int
-	// SuspectPeriods is how many periods a suspect has to speak up.
+	// SuspectPeriods is the number of periods in which a suspect can refute the
+	// suspicion. suspectTime scales it with the size of the fleet.
 	SuspectPeriods int
-	// Updates bounds the items carried on one message.
+	// Updates is the maximum number of updates about other boxes on one message.
 	Updates int
-	// Forget is how long the dead are remembered.
+	// Forget is how long dead boxes are remembered.
 	Forget time.Duration
-	// Regions says which region each zone belongs to: most probes stay within the
-	// own region.
+	// Regions maps zones to regions: most probes stay within this box's region.
 	Regions locality.Map
 	Seed    uint64
 }
 
-// Defaults for Config.
+// Default values of Config.
 const (
 	DefaultPeriod         = 500 * time.Millisecond
 	DefaultTimeout        = 150 * time.Millisecond
 	defaultIndirect       = 3
 	defaultSuspectPeriods = 3
-	// defaultUpdates lets what is said of a lost zone go round at once; with few it queues.
+	// defaultUpdates is large enough to spread the updates about a lost zone at once;
+	// with a smaller value they queue.
 	defaultUpdates = 16
 	defaultForget  = 2 * time.Minute
 )
@@ -110,16 +113,16 @@
 	return c
 }
 
-// entry is a box with what the protocol needs beside it.
+// entry is a box with the protocol's own state about it.
 type entry struct {
 	Box
 	// since is when the state was entered.
 	since time.Time
-	// told is how often this word was passed on.
-	told int
+	// sent is the number of messages that carried this update, see updates.
+	sent int
 }
 
-// probe is the probe under way.
+// probe is the probe in flight; its target is empty if there is none.
 type probe struct {
 	target   string
 	sequence uint64
@@ -128,25 +131,25 @@
 	answered bool
 }
 
-// Message is what boxes say to each other about each other.
+// Message is what boxes send each other to probe and to spread their views.
 type Message struct {
 	Kind MessageKind
 	// Sequence matches an answer to its probe.
 	Sequence uint64
-	// For is whose behalf an indirect probe or answer is on; empty is none.
+	// For, on an Ack, is the box that answered an indirect probe; empty for a direct one.
 	For string
-	// Target is the box to probe in a request.
+	// Target is the box to probe, on a PingRequest.
 	Target  string
 	Updates []Box
-	// Total is how many boxes the messages of one Sync tell together; 0 is those of this
-	// message.
+	// Total is the number of boxes in all messages of one Sync; 0 means those of this
+	// message only.
 	Total int
-	// Digest, with a SyncRequest, stands for all that its sender knows; 0 is not said. Who
-	// knows the same does not answer.
+	// Digest, on a SyncRequest, is a hash of the sender's view; 0 means none. A box whose
+	// view has the same digest does not answer.
 	Digest uint64
 }
 
-// MessageKind tells the messages apart.
+// MessageKind is the kind of a Message.
 type MessageKind uint8
 
 // The kinds of Message.
@@ -154,21 +157,22 @@
 	Ping MessageKind = iota + 1
 	Ack
 	PingRequest
-	// SyncRequest asks for all that a box knows; a box that starts sends it.
+	// SyncRequest asks a box for its whole view; boxes send it after their start.
 	SyncRequest
-	// Sync is the answer to it.
+	// Sync is one part of the answer to a SyncRequest.
 	Sync
 )
 
-// Send is a message and where it goes.
+// Send is a message and its destination.
 type Send struct {
 	To string
-	// Address is where that box is, for one that the view does not have yet.
+	// Address is the box's address; empty if the view does not know it.
 	Address string
 	Message Message
 }
 
-// View is one box's view; one goroutine owns it.
+// View is one box's view of the fleet. It is not safe for concurrent use: one
+// goroutine owns it.
 type View struct {
 	cfg      Config
 	random   *rand.Rand
@@ -179,32 +183,33 @@
 	sequence uint64
 	relays   map[uint64]relay
 	last     time.Time
-	// distrust is until when this box does not trust its own judgement.
-	distrust time.Time
-	changed  bool
-	leaving  bool
-	// denied tells that others thought this box dead.
-	denied bool
-	// syncing asks others for all that they know, after a start.
+	// distrustUntil is the time until which this box's own observations do not count,
+	// since it was paused.
+	distrustUntil time.Time
+	changed       bool
+	leaving       bool
+	// reportedDead is set when another box reported this one as dead.
+	reportedDead bool
+	// syncing is the state of the requests for other boxes' views after a start.
 	syncing syncing
 	// measured is the round trip of the latest probe that was answered directly.
 	measured RoundTrip
 }
 
-// RoundTrip is how long a probe of another box took, there and back.
+// RoundTrip is the time between a probe of another box and its answer.
 type RoundTrip struct {
 	Box  string
 	Took time.Duration
 }
 
-// relay remembers whom an indirect probe is for.
+// relay is an indirect probe that this box sent for another one.
 type relay struct {
 	to       string
 	sequence uint64
 	at       time.Time
 }
 
-// New makes the view of a box that knows only itself.
+// New returns the view of a box that knows only itself.
 func New(cfg Config, now time.Time) *View {
 	cfg = cfg.withDefaults()
 	v := &View{
@@ -218,38 +223,39 @@
 	return v
 }
 
-// Self is what this box says of itself.
+// Self returns this box as it describes itself to others.
 func (v *View) Self() Box {
 	return v.boxes[v.cfg.Self.Name].Box
 }
 
-// Changed says whether the set of boxes with duties has changed since it was
-// last asked.
+// Changed reports whether the set of boxes with duties has changed since the
+// previous call.
 func (v *View) Changed() bool {
 	changed := v.changed
 	v.changed = false
 	return changed
 }
 
-// Measured is the round trip of the latest probe that its target answered, once.
+// Measured returns the round trip of the latest probe that its target answered
+// directly. It returns each measurement once, and false if there is no new one.
 func (v *View) Measured() (RoundTrip, bool) {
 	out := v.measured
 	v.measured = RoundTrip{}
 	return out, out.Box != ""
 }
 
-// Duty lists the boxes that may have duties, with this one: live and
-// suspected ones. They are sorted by name.
+// Duty lists the boxes that may have duties, this one included: the live and the
+// suspected ones, sorted by name.
 func (v *View) Duty() []Box {
 	return v.list(func(e *entry) bool { return e.State == Live || e.State == Suspect })
 }
 
-// Known lists all boxes that are not dead.
+// Known lists all boxes that are not dead, sorted by name.
 func (v *View) Known() []Box {
 	return v.list(func(e *entry) bool { return e.State != Dead })
 }
 
-// All lists every box that is remembered.
+// All lists every remembered box, sorted by name.
 func (v *View) All() []Box {
 	return v.list(func(*entry) bool { return true })
 }
@@ -270,7 +276,7 @@
 	return out
 }
 
-// Box finds what is known of a box.
+// Box returns what the view knows about a box, and false if it knows nothing.
 func (v *View) Box(name string) (Box, bool) {
 	e, ok := v.boxes[name]
 	if !ok {
@@ -279,31 +285,33 @@
 	return e.Box, true
 }
 
-// Distrusts says whether this box has lately noticed a pause of its own.
+// Distrusts reports whether this box was paused recently, so that its
+// observations of others do not count.
 func (v *View) Distrusts(now time.Time) bool {
-	return now.Before(v.distrust)
+	return now.Before(v.distrustUntil)
 }
 
-// Introduce takes in a box from the platform's lagging list. The list only
-// brings boxes that are not known; what the boxes say themselves counts more.
+// Introduce adds a box from the platform's list, which lags behind. It adds only
+// boxes that are not known yet or that return at another address: what boxes
+// report about themselves takes precedence.
 func (v *View) Introduce(now time.Time, b Box) {
 	e, known := v.boxes[b.Name]
 	if !known {
 		b.Incarnation = 0
-		// All boxes read the list, so this is no update to pass on.
-		v.boxes[b.Name] = &entry{Box: b, since: now, told: untold}
+		// All boxes read the list, so the update is not spread further.
+		v.boxes[b.Name] = &entry{Box: b, since: now, sent: neverSpread}
 		v.changed = true
 		return
 	}
 	if e.State == Dead && e.Address != b.Address && b.Name != v.cfg.Self.Name {
-		// A box that comes back elsewhere; its own word will follow.
+		// The box is back at another address; its own update will follow.
 		e.Address, e.State, e.since = b.Address, Live, now
 		v.changed = true
 	}
 }
 
-// Refused takes in the proof that a box's process is gone: its machine
-// answered that nothing listens there. That needs no suspicion first.
+// Refused marks a box as dead after its machine refused a connection: this proves
+// that the process is gone, so no suspicion has to come first.
 func (v *View) Refused(now time.Time, name string) {
 	e, ok := v.boxes[name]
 	if !ok || e.State == Dead || name == v.cfg.Self.Name {
@@ -312,26 +320,27 @@
 	v.set(now, e, Dead)
 }
 
-// Leave makes this box say that it is leaving.
+// Leave makes this box announce that it is leaving.
 func (v *View) Leave(now time.Time) {
 	v.leaving = true
-	v.speak(now, Leaving)
+	v.announceSelf(now, Leaving)
 }
 
-// speak raises this box's own incarnation with a state.
-func (v *View) speak(now time.Time, s State) {
+// announceSelf sets this box's own state under a higher incarnation, to be spread
+// to the others.
+func (v *View) announceSelf(now time.Time, s State) {
 	e := v.boxes[v.cfg.Self.Name]
 	e.Incarnation++
 	if e.State != s {
 		v.changed = true
 	}
-	e.State, e.since, e.told = s, now, 0
+	e.State, e.since, e.sent = s, now, 0
 }
 
-// merge takes in one word about a box.
+// merge applies one update about a box.
 func (v *View) merge(now time.Time, b Box) {
 	if b.State > Dead {
-		// Of a later build; what it means for duties is not known here.
+		// The state is of a later build; what it means for duties is unknown here.
 		return
 	}
 	if b.Name == v.cfg.Self.Name {
@@ -345,56 +354,57 @@
 		return
 	}
 	newer := b.Incarnation > e.Incarnation
-	stronger := b.Incarnation == e.Incarnation && b.State > e.State
-	if !newer && !stronger {
-		if b.Incarnation == e.Incarnation && b.State == Live && e.State == Live && e.told < untold {
-			// Whoever told it knows it, and so do those whom that box has told.
-			e.told += heardAgain
+	higherState := b.Incarnation == e.Incarnation && b.State > e.State
+	if !newer && !higherState {
+		if b.Incarnation == e.Incarnation && b.State == Live && e.State == Live && e.sent < neverSpread {
+			// The sender knows the update, and so do the boxes it has sent it to.
+			e.sent += receivedAgain
 		}
 		return
 	}
-	// A box that clears a suspicion raises its incarnation and is the same process
-	// as before: nothing has changed for those who are told of changes.
-	other := e.Address != b.Address || e.Start != b.Start
-	if other || (e.State >= Dead) != (b.State >= Dead) || (e.State == Leaving) != (b.State == Leaving) {
+	// A box that clears a suspicion raises its incarnation but is the same process
+	// as before, so this is no change for the users of Changed.
+	otherProcess := e.Address != b.Address || e.Start != b.Start
+	if otherProcess || (e.State >= Dead) != (b.State >= Dead) || (e.State == Leaving) != (b.State == Leaving) {
 		v.changed = true
 	}
-	same := e.State == b.State && e.Address == b.Address && e.Start <= b.Start
+	unchanged := e.State == b.State && e.Address == b.Address && e.Start <= b.Start
 	e.Box, e.since = b, now
-	if !same || b.State != Live {
-		e.told = 0
+	if !unchanged || b.State != Live {
+		e.sent = 0
 	}
 }
 
 const (
-	// untold is a count of tellings that nothing reaches.
-	untold = 1 << 30
-	// heardAgain is for how many tellings it counts that a live box is told of by another:
-	// where a whole fleet starts, all would tell all others of all.
-	heardAgain = 3
+	// neverSpread is a value of sent above every limit: the update is not sent on.
+	neverSpread = 1 << 30
+	// receivedAgain is how many sent messages it counts for when another box reports the
+	// same live box again. Without it, in a fleet that starts at once, every box would
+	// send the updates about all boxes to all others.
+	receivedAgain = 3
 )
 
-// mergeSelf answers a wrong word about this box with a higher incarnation.
+// mergeSelf refutes a wrong update about this box with a higher incarnation.
 func (v *View) mergeSelf(now time.Time, b Box) {
 	own := v.boxes[v.cfg.Self.Name]
 	if b.Incarnation < own.Incarnation || b.State == own.State && b.Incarnation == own.Incarnation {
 		return
 	}
 	if b.State == Dead {
-		v.denied = true
+		v.reportedDead = true
 	}
 	own.Incarnation = max(own.Incarnation, b.Incarnation)
 	state := Live
 	if v.leaving {
 		state = Leaving
 	}
-	v.speak(now, state)
+	v.announceSelf(now, state)
 }
 
-// Denied says whether others thought this box dead since it was last asked:
-// its duties may have gone to another box meanwhile.
+// Denied reports whether others took this box for dead since the previous call:
+// its duties may have been given to another box meanwhile.
 func (v *View) Denied() bool {
-	denied := v.denied
-	v.denied = false
+	denied := v.reportedDead
+	v.reportedDead = false
 	return denied
 }
--- a/state/member/member_test.go
+++ b/state/member/member_test.go
@@ -23,22 +23,22 @@
 
 const tick = 50 * time.Millisecond
 
-// net is some views on a network in its own time.
-type net struct {
+// network simulates boxes and the network between them in virtual time.
+type network struct {
 	now   time.Time
 	names []string
-	// seed is added to those of all views.
+	// seed is added to the seeds of all views.
 	seed   uint64
 	views  map[string]*View
 	down   map[string]bool
 	paused map[string]bool
 	// carried counts the updates on all messages.
 	carried int
-	// lose drops a message; nil loses none.
+	// lose reports whether a message is dropped; nil drops none.
 	lose func(from, to string) bool
-	// held is what came for a paused box.
+	// held is what arrived for each paused box.
 	held map[string][]delivery
-	// zones are where boxes stand, and regions where zones are; empty is one region.
+	// zones maps boxes to zones, and regions zones to regions; empty is one region.
 	zones   map[string]string
 	regions locality.Map
 }
@@ -48,14 +48,14 @@
 	m    Message
 }
 
-func newNet(n int) *net { return newNetIn(n, locality.Map{}) }
+func newNetwork(n int) *network { return newNetworkIn(n, locality.Map{}) }
 
-// newNetIn places the boxes in the zones z0 and z1 by turns.
-func newNetIn(n int, regions locality.Map) *net { return newSeededNet(n, regions, 0) }
+// newNetworkIn places the boxes alternately in the zones z0 and z1.
+func newNetworkIn(n int, regions locality.Map) *network { return newSeededNetwork(n, regions, 0) }
 
-// newSeededNet is newNetIn with another order of probes for each seed.
-func newSeededNet(n int, regions locality.Map, seed uint64) *net {
-	w := &net{
+// newSeededNetwork is like newNetIn, with another order of probes for each seed.
+func newSeededNetwork(n int, regions locality.Map, seed uint64) *network {
+	w := &network{
 		seed: seed, zones: make(map[string]string), regions: regions,
 		now: time.Unix(1_700_000_000, 0), views: make(map[string]*View),
 		down: make(map[string]bool), paused: make(map[string]bool), held: make(map[string][]delivery),
@@ -71,7 +71,7 @@
 	return w
 }
 
-func (w *net) start(name string) {
+func (w *network) start(name string) {
 	start := uint64(w.now.UnixMilli())
 	self := Box{Name: name, Address: name, Zone: w.zones[name], Start: start, Incarnation: start}
 	w.views[name] = New(Config{Self: self, Regions: w.regions, Seed: w.seed + start + uint64(name[1])*7 + uint64(name[2])}, w.now)
@@ -83,8 +83,8 @@
 	w.down[name] = false
 }
 
-// run lets time pass.
-func (w *net) run(d time.Duration) {
+// run advances the virtual time and ticks every running box.
+func (w *network) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(tick) {
 		for _, name := range w.names {
 			if !w.down[name] && !w.paused[name] {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (w *net) send(from string, out []Send) {
+func (w *network) send(from string, out []Send) {
 	for _, s := range out {
 		w.carried += len(s.Message.Updates)
 		if w.lose != nil && w.lose(from, s.To) || w.down[s.To] {
@@ -108,8 +108,8 @@
 	}
 }
 
-// resume lets a paused box go on with what came meanwhile.
-func (w *net) resume(name string) {
+// resume ends a box's pause and delivers what arrived meanwhile.
+func (w *network) resume(name string) {
 	w.paused[name] = false
 	w.send(name, w.views[name].Tick(w.now))
 	for _, d := range w.held[name] {
@@ -118,9 +118,9 @@
 	delete(w.held, name)
 }
 
-// agreed says whether every box that is up takes exactly those that are up for
-// not dead.
-func (w *net) agreed() string {
+// disagreement describes a box that is up and takes a running box for dead or a
+// stopped one for alive; it is empty if there is none.
+func (w *network) disagreement() string {
 	for _, name := range w.names {
 		if w.down[name] {
 			continue
@@ -128,7 +128,7 @@
 		for _, other := range w.names {
 			b, known := w.views[name].Box(other)
 			if !known || (b.State == Dead) != w.down[other] {
-				return fmt.Sprintf("%s takes %s for %v, known %v, down %v", name, other, b.State, known, w.down[other])
+				return fmt.Sprintf("in the view of %s, %s is %v, known %v, down %v", name, other, b.State, known, w.down[other])
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 
 func TestViewsAgreeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newNet(rapid.IntRange(3, 12).Draw(t, "boxes"))
+		w := newNetwork(rapid.IntRange(3, 12).Draw(t, "boxes"))
 		w.run(2 * time.Second)
 		for range rapid.IntRange(1, 6).Draw(t, "faults") {
 			name := rapid.SampledFrom(w.names).Draw(t, "box")
@@ -165,24 +165,24 @@
 			w.run(time.Duration(rapid.IntRange(0, 3000).Draw(t, "between")) * time.Millisecond)
 		}
 		w.run(40 * time.Second)
-		if problem := w.agreed(); problem != "" {
+		if problem := w.disagreement(); problem != "" {
 			t.Fatal(problem)
 		}
 	})
 }
 
 func TestNoFalseDeath(t *testing.T) {
-	cases := map[string]func(w *net){
-		"a cut between two boxes": func(w *net) {
+	cases := map[string]func(w *network){
+		"a cut between two boxes": func(w *network) {
 			w.lose = func(from, to string) bool { return from == "b00" && to == "b01" || from == "b01" && to == "b00" }
 			w.run(20 * time.Second)
 		},
-		"one message of eleven lost": func(w *net) {
+		"one message of eleven lost": func(w *network) {
 			n := 0
 			w.lose = func(string, string) bool { n++; return n%11 == 0 }
 			w.run(20 * time.Second)
 		},
-		"an observer's own pause": func(w *net) {
+		"an observer's own pause": func(w *network) {
 			w.paused["b02"] = true
 			w.run(900 * time.Millisecond)
 			w.resume("b02")
@@ -192,7 +192,7 @@
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey(name, t, func() {
-				w := newNet(8)
+				w := newNetwork(8)
 				w.run(2 * time.Second)
 				fault(w)
 				for _, n := range w.names {
@@ -207,39 +207,40 @@
 }
 
 func TestUpdatesOfADeath(t *testing.T) {
-	convey.Convey("A refused connection is believed at once, and the update of it comes round", t, func() {
-		w := newNet(50)
-		// A round of probes, after which each has heard of each first-hand. A
-		// death told before that is weaker than a suspicion with an incarnation.
+	convey.Convey("A refused connection marks a box as dead at once, and the update reaches all boxes", t, func() {
+		w := newNetwork(50)
+		// After a round of probes every box has received the own update of every
+		// other. An update about a death before that has incarnation 0 and would
+		// lose against a suspicion with the box's real incarnation.
 		w.run(30 * time.Second)
 		w.down["b07"] = true
 		w.views["b00"].Refused(w.now, "b07")
 		convey.So(w.views["b00"].Duty(), convey.ShouldHaveLength, 49)
 		w.run(5 * time.Second)
-		convey.So(w.agreed(), convey.ShouldEqual, "")
+		convey.So(w.disagreement(), convey.ShouldEqual, "")
 	})
 }
 
-// settledBy is what a view takes for settled, as one string.
-func (w *net) settledBy(name string) string {
+// establishedIn returns the established boxes of one box's view, as one string.
+func (w *network) establishedIn(name string) string {
 	return strings.Join(Established(w.views[name].Duty()), " ")
 }
 
 func TestEstablishedIsTheSameEverywhere(t *testing.T) {
-	convey.Convey("Boxes that all start at once agree from the first moment on", t, func() {
-		w := newNet(40)
+	convey.Convey("Boxes that all start at once agree from the beginning", t, func() {
+		w := newNetwork(40)
 		want := strings.Join(w.names, " ")
 		for range 200 {
 			for _, name := range w.names {
-				if got := w.settledBy(name); got != want {
-					t.Fatalf("%v after the start %s takes %d boxes for settled", w.now.Sub(time.Unix(1_700_000_000, 0)), name, len(strings.Fields(got)))
+				if got := w.establishedIn(name); got != want {
+					t.Fatalf("%v after the start %s takes %d boxes for established", w.now.Sub(time.Unix(1_700_000_000, 0)), name, len(strings.Fields(got)))
 				}
 			}
 			w.run(tick)
 		}
 	})
-	convey.Convey("A box that comes back takes over what the others think within a second", t, func() {
-		w := newNet(40)
+	convey.Convey("A box that restarts agrees with the others within a second", t, func() {
+		w := newNetwork(40)
 		w.run(40 * time.Second)
 		w.down["b07"] = true
 		for _, name := range w.names {
@@ -247,11 +248,11 @@
 		}
 		w.run(time.Second)
 		w.start("b09")
-		// Long enough for the update of it to be old.
+		// Long enough that the update about it is no longer sent.
 		w.run(3 * time.Minute)
 		w.start("b07")
 		w.run(time.Second)
-		convey.So(w.settledBy("b07"), convey.ShouldEqual, w.settledBy("b00"))
-		convey.So(strings.Fields(w.settledBy("b07")), convey.ShouldHaveLength, 38)
+		convey.So(w.establishedIn("b07"), convey.ShouldEqual, w.establishedIn("b00"))
+		convey.So(strings.Fields(w.establishedIn("b07")), convey.ShouldHaveLength, 38)
 	})
 }
--- a/state/member/protocol.go
+++ b/state/member/protocol.go
@@ -13,16 +13,18 @@
 )
 
 const (
-	// pausePeriods is how many periods late a tick must be to count as a
-	// pause of this box itself.
+	// pausePeriods is the number of periods between two ticks above which this box
+	// itself counts as having been paused.
 	pausePeriods = 2
-	// distrustPeriods is how long a box distrusts itself after a pause.
+	// distrustPeriods is the number of periods after a pause in which this box's
+	// observations of others do not count.
 	distrustPeriods = 2
-	// maxRelays bounds the indirect probes remembered.
+	// maxRelays is the maximum number of pending indirect probes for other boxes.
 	maxRelays = 256
 )
 
-// Tick moves the protocol on; it is called a few times a period.
+// Tick advances the protocol and returns the messages to send. It is called a few
+// times per period.
 func (v *View) Tick(now time.Time) []Send {
 	if now.Sub(v.last) > pausePeriods*v.cfg.Period {
 		v.noticePause(now)
@@ -31,21 +33,22 @@
 	v.expire(now)
 	out := v.requestSync(now)
 	if v.probe.target == "" || now.Sub(v.probe.sent) >= v.cfg.Period {
-		v.judge(now)
+		v.concludeProbe(now)
 		return append(out, v.next(now)...)
 	}
 	late := now.Sub(v.probe.sent) >= v.cfg.Timeout
 	if late && !v.probe.answered && !v.probe.indirect {
 		v.probe.indirect = true
-		return append(out, v.askOthers()...)
+		return append(out, v.requestIndirectProbes()...)
 	}
 	return out
 }
 
-// noticePause makes a box that stood still blame itself: whatever was due
-// meanwhile proves nothing about the others.
+// noticePause handles a pause of this box itself: answers that were due meanwhile
+// prove nothing about the others, so the probe in flight is dropped and all
+// suspicions start over.
 func (v *View) noticePause(now time.Time) {
-	v.distrust = now.Add(distrustPeriods * v.cfg.Period)
+	v.distrustUntil = now.Add(distrustPeriods * v.cfg.Period)
 	v.probe = probe{}
 	for _, e := range v.boxes {
 		if e.State == Suspect {
@@ -54,8 +57,8 @@
 	}
 }
 
-// judge ends the probe under way.
-func (v *View) judge(now time.Time) {
+// concludeProbe ends the probe in flight and suspects its target if it did not answer.
+func (v *View) concludeProbe(now time.Time) {
 	p := v.probe
 	v.probe = probe{}
 	if p.target == "" || p.answered || v.Distrusts(now) {
@@ -68,27 +71,30 @@
 	v.set(now, e, Suspect)
 }
 
-// set changes the state of another box on this box's own judgement.
+// set changes the state of another box after an observation of this one.
 func (v *View) set(now time.Time, e *entry, s State) {
 	if (e.State == Dead) != (s == Dead) {
 		v.changed = true
 	}
-	e.State, e.since, e.told = s, now, 0
+	e.State, e.since, e.sent = s, now, 0
 }
 
-// suspectTime grows with the logarithm of the fleet, as updates need that long
-// to come round.
+// suspectTime returns how long a suspicion lasts before the box is dead. It grows
+// with the logarithm of the fleet's size, as does the time that updates need to
+// reach all boxes.
 func (v *View) suspectTime() time.Duration {
 	rounds := max(bits.Len(uint(len(v.boxes)))-suspectBase, 1)
 	return time.Duration(v.cfg.SuspectPeriods*(1+rounds)) * v.cfg.Period / 2
 }
 
-// suspectBase is the size, as a power of two, up to which a fleet is small.
+// suspectBase is the bit length of the fleet's size up to which suspectTime does
+// not grow.
 const suspectBase = 3
 
-// expire turns suspects that stayed silent into dead, one at a time, and
-// forgets the long dead. One a tick, and never while most of the fleet is
-// under suspicion: then the fault is more likely here.
+// expire declares the longest suspected box dead once its time is over, one box
+// per tick, and forgets boxes that have been dead for long. While most of the
+// fleet is suspected the fault is more likely on this box's side, so suspects get
+// more time.
 func (v *View) expire(now time.Time) {
 	if v.Distrusts(now) {
 		return
@@ -122,21 +128,21 @@
 	}
 }
 
-// suspectedBefore orders suspects by when the suspicion arose, and those of one moment by
-// name: the order of a map can't be repeated.
+// suspectedBefore reports whether one box was suspected before another. Equal times are
+// ordered by name, since map order is not reproducible.
 func (e *entry) suspectedBefore(o *entry) bool {
 	return cmp.Or(e.since.Compare(o.since), cmp.Compare(e.Name, o.Name)) < 0
 }
 
 const (
-	// smallFleet is too small for a majority to say anything.
+	// smallFleet is the largest fleet in which a majority of suspects means nothing.
 	smallFleet = 3
-	// mostSuspectFactor is how much longer suspects get when there are many.
+	// mostSuspectFactor multiplies the suspicion time while most boxes are suspected.
 	mostSuspectFactor = 4
 )
 
-// next probes the next box in a random order that is drawn anew each round,
-// so that every box is probed once a round.
+// next probes the next box of a random order that is drawn anew each round, so
+// that every box of this region is probed once per round.
 func (v *View) next(now time.Time) []Send {
 	target, ok := v.pick()
 	if !ok {
@@ -147,6 +153,7 @@
 	return []Send{v.send(target, Message{Kind: Ping, Sequence: v.sequence})}
 }
 
+// pick returns the next box to probe, and false if there is none.
 func (v *View) pick() (string, bool) {
 	for range len(v.boxes) + 1 {
 		if v.turn >= len(v.order) {
@@ -157,8 +164,8 @@
 		}
 		name := v.order[v.turn]
 		v.turn++
-		// The dead are probed too: that is how two halves find each other
-		// again once the network between them is back.
+		// Dead boxes are probed too: this is how the two sides of a partition
+		// find each other once the network is back.
 		if _, ok := v.boxes[name]; ok {
 			return name, true
 		}
@@ -166,13 +173,14 @@
 	return "", false
 }
 
+// shuffle draws the order of the next round of probes.
 func (v *View) shuffle() {
 	v.order = v.order[:0]
 	names := make([]string, 0, len(v.boxes))
 	for name := range v.boxes {
 		names = append(names, name)
 	}
-	// Map order is random, but not repeatable; tests need it to be.
+	// Map order is not reproducible, and tests need a reproducible one.
 	slices.Sort(names)
 	for _, name := range names {
 		skipped := v.far(v.boxes[name].Box) && v.random.IntN(farRounds) > 0
@@ -184,8 +192,8 @@
 	v.turn = 0
 }
 
-// askOthers asks a few live boxes to probe the silent one.
-func (v *View) askOthers() []Send {
+// requestIndirectProbes asks a few live boxes to probe the silent one.
+func (v *View) requestIndirectProbes() []Send {
 	live := slices.DeleteFunc(v.Duty(), func(b Box) bool { return b.Name == v.probe.target || b.State != Live })
 	helpers := v.nearFirst(live, v.cfg.Indirect)
 	v.random.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
@@ -196,19 +204,20 @@
 	return out
 }
 
-// farRounds is in one of how many rounds a box of another region is probed. Those of
-// its own region find a dead box, and the others' probes carry the word across. With
-// four, 20 % of the probes of two equal regions cross, not 50 %, and 150 boxes still
-// send 60 a second across, so that each of 150 boxes there is probed every 2.5 s.
+// farRounds is the average number of rounds between two probes of a box in another
+// region. A dead box is found by the boxes of its own region, and the probes between
+// regions spread the update. With 4, 20 % of the probes of two equal regions cross
+// instead of 50 %, and 150 boxes still send 60 probes a second across, so each of 150
+// boxes there is probed every 2.5 s.
 const farRounds = 4
 
-// far says whether a box stands in another region.
+// far reports whether a box is in another region.
 func (v *View) far(b Box) bool {
 	return v.cfg.Regions.Distance(v.cfg.Self.Zone, b.Zone) == locality.OtherRegion
 }
 
-// nearFirst lists the other boxes of the own region, and all others if there are
-// fewer than needed.
+// nearFirst lists the other boxes in this box's region, or all other boxes if
+// fewer than needed are in it.
 func (v *View) nearFirst(boxes []Box, needed int) []string {
 	var near, all []string
 	for _, b := range boxes {
@@ -226,13 +235,13 @@
 	return near
 }
 
-// send fills in the updates that a message carries.
+// send addresses a message to a box and adds the updates that it carries.
 func (v *View) send(to string, m Message) Send {
 	m.Updates = v.updates(to)
 	return Send{To: to, Address: v.addressOf(to), Message: m}
 }
 
-// addressOf is where a box is reached; empty is not known.
+// addressOf returns a box's address; empty if it is not known.
 func (v *View) addressOf(box string) string {
 	if e, ok := v.boxes[box]; ok {
 		return e.Address
@@ -240,20 +249,21 @@
 	return ""
 }
 
-// updates picks the least told words, this box's own first. Each is told a few
-// times for each doubling of the fleet and then no more, so that a quiet fleet
-// says almost nothing.
+// updates selects the updates that a message to a box carries: first this box's
+// own state, then those that were sent least often. Each is sent a few times for
+// each doubling of the fleet and then no more, so an unchanged fleet sends almost
+// none.
 func (v *View) updates(to string) []Box {
-	limit := tellFactor * (bits.Len(uint(len(v.boxes))) + 1)
-	var fresh []*entry
+	limit := spreadFactor * (bits.Len(uint(len(v.boxes))) + 1)
+	var pending []*entry
 	for _, e := range v.boxes {
-		if e.told < limit && e.Name != v.cfg.Self.Name {
-			fresh = append(fresh, e)
+		if e.sent < limit && e.Name != v.cfg.Self.Name {
+			pending = append(pending, e)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *entry) int {
-		if a.told != b.told {
-			return a.told - b.told
+	slices.SortFunc(pending, func(a, b *entry) int {
+		if a.sent != b.sent {
+			return a.sent - b.sent
 		}
 		if a.Name < b.Name {
 			return -1
@@ -261,24 +271,24 @@
 		return 1
 	})
 	out := []Box{v.Self()}
-	// The receiver hears what is said of it, so that it can speak up.
+	// The receiver gets the update about itself so that it can refute it.
 	if e, ok := v.boxes[to]; ok && e.State != Live {
 		out = append(out, e.Box)
 	}
-	for _, e := range fresh[:min(len(fresh), v.cfg.Updates)] {
-		e.told++
+	for _, e := range pending[:min(len(pending), v.cfg.Updates)] {
+		e.sent++
 		out = append(out, e.Box)
 	}
 	return out
 }
 
-// tellFactor is how often a word is told for each doubling of the fleet.
-const tellFactor = 3
+// spreadFactor is how often an update is sent for each doubling of the fleet.
+const spreadFactor = 3
 
-// Receive takes a message from a box and returns what to answer.
+// Receive processes a message from a box and returns the messages to send.
 func (v *View) Receive(now time.Time, from string, m Message) []Send {
 	if m.Kind == Sync {
-		v.hearSync(now, from, m)
+		v.receiveSync(now, from, m)
 		return nil
 	}
 	for _, b := range m.Updates {
@@ -298,7 +308,7 @@
 	}
 }
 
-// relayPing probes a box for another.
+// relayPing probes a box on behalf of another one.
 func (v *View) relayPing(now time.Time, from string, m Message) []Send {
 	if _, ok := v.boxes[m.Target]; !ok {
 		return nil
@@ -316,7 +326,8 @@
 	return []Send{v.send(m.Target, Message{Kind: Ping, Sequence: v.sequence})}
 }
 
-// acked takes an answer to a probe of this box's own or of another's.
+// acked processes the answer to this box's own probe, or forwards the answer to a
+// probe on behalf of another box.
 func (v *View) acked(now time.Time, from string, m Message) []Send {
 	if m.Sequence == v.probe.sequence && (from == v.probe.target || m.For == v.probe.target) {
 		if from == v.probe.target && !v.probe.answered {
--- a/state/member/regions_test.go
+++ b/state/member/regions_test.go
@@ -22,7 +22,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newNetIn(60, c.regions)
+			w := newNetworkIn(60, c.regions)
 			sent, crossed := 0, 0
 			w.lose = func(from, to string) bool {
 				sent++
@@ -33,24 +33,24 @@
 			}
 			w.run(2 * time.Minute)
 			if part := float64(crossed) / float64(sent); part < c.least || part > c.most {
-				t.Errorf("%.2f of the messages cross, want %.2f to %.2f", part, c.least, c.most)
+				t.Errorf("%.2f of the messages cross regions, want %.2f to %.2f", part, c.least, c.most)
 			}
 		})
 	}
 }
 
 func TestADeathIsKnownInTheOtherRegion(t *testing.T) {
-	w := newNetIn(60, apart)
+	w := newNetworkIn(60, apart)
 	w.run(30 * time.Second)
 	w.down["b07"] = true
 	w.run(15 * time.Second)
-	if wrong := w.agreed(); wrong != "" {
+	if wrong := w.disagreement(); wrong != "" {
 		t.Errorf("15 s after a box died: %s", wrong)
 	}
 }
 
 func TestRegionsFindEachOtherAgain(t *testing.T) {
-	w := newNetIn(40, apart)
+	w := newNetworkIn(40, apart)
 	w.run(10 * time.Second)
 	w.lose = func(from, to string) bool { return w.zones[from] != w.zones[to] }
 	w.run(90 * time.Second)
@@ -63,11 +63,11 @@
 		}
 	}
 	if near != 20 || far != 0 {
-		t.Errorf("while the regions are apart a box takes %d of its own and %d of the other's for live", near, far)
+		t.Errorf("while the regions are partitioned a box takes %d boxes of its own region and %d of the other for live", near, far)
 	}
 	w.lose = nil
 	w.run(30 * time.Second)
-	if wrong := w.agreed(); wrong != "" {
+	if wrong := w.disagreement(); wrong != "" {
 		t.Errorf("30 s after the link is back: %s", wrong)
 	}
 }
--- a/state/member/sync.go
+++ b/state/member/sync.go
@@ -12,42 +12,44 @@
 )
 
 const (
-	// MaxSync bounds the boxes that one message tells, so that it fits into a frame however
-	// large the fleet is.
+	// MaxSync is the maximum number of boxes in one Sync message, so that it fits into a
+	// frame whatever the size of the fleet.
 	MaxSync = 256
-	// leastSyncs is how many answers a box that starts takes at least, and learntShare the
-	// part of the boxes it knows that an answer may bring for it to be enough. Of a fleet
-	// that starts at once each box knows twice as many after each answer.
-	leastSyncs  = 2
-	learntShare = 0.05
-	// maxSyncs is after how many questions the answer of a box that knows few others does.
+	// minSyncs is the minimum number of requests before an answer can end the initial
+	// synchronization, and maxLearntShare the share of new boxes below which it does. In
+	// a fleet that starts at once each answer doubles the number of boxes that a box knows.
+	minSyncs       = 2
+	maxLearntShare = 0.05
+	// maxSyncs is the number of requests after which any complete answer ends the initial
+	// synchronization, even that of a box that knows few others.
 	maxSyncs = 8
-	// laterSyncs is how often a box asks again after that, each time after twice the time
-	// before: for what was lost on the way.
+	// laterSyncs is the number of requests after the initial synchronization, which recover
+	// lost messages. The first follows after firstLater, and the interval doubles each time.
 	laterSyncs = 5
 	firstLater = 2 * time.Second
-	// anyZone is which of the questions may go to any zone, the first and each so many
-	// after it: what comes from the own zone crosses no link between zones.
+	// anyZone is how often a request may go to any zone: the first one and every anyZone-th
+	// after it. The others stay in this box's zone, whose answers cross no link between zones.
 	anyZone = 3
 )
 
-// syncing is the questions of a box that has started.
+// syncing is the state of a started box's requests for the views of others.
 type syncing struct {
-	// next is when to ask again, asks how often this box has asked, and later how often
-	// since it has had enough.
-	next  time.Time
-	asks  int
-	later int
-	done  bool
-	// from is the box whose answer is coming, told how many boxes that has told so far, and
-	// learnt how many of them were new.
-	from         string
-	told, learnt int
+	// next is when to send the next request, requests the number of requests sent, and later
+	// the number of those sent after the initial synchronization.
+	next     time.Time
+	requests int
+	later    int
+	// done is set when the initial synchronization has ended.
+	done bool
+	// from is the box whose answer is being received, received the number of boxes in its
+	// parts so far, and learnt how many of them were new.
+	from             string
+	received, learnt int
 }
 
-// requestSync asks one other box for all that it knows, and another one after a while, until
-// the answers bring nothing new. Without it a box that starts would hear of the others one
-// probe at a time, and give duties to other boxes than they do meanwhile.
+// requestSync asks one other box for its whole view, and another one after a while, until the
+// answers bring nothing new. Without it a started box would learn of the others one probe at a
+// time, and would meanwhile assign duties to other boxes than they do.
 func (v *View) requestSync(now time.Time) []Send {
 	s := &v.syncing
 	if now.Before(s.next) || s.later > laterSyncs {
@@ -57,15 +59,15 @@
 	if len(others) == 0 {
 		return nil
 	}
-	if same := v.sameZone(others); s.asks%anyZone > 0 && len(same) > 0 {
-		others = same
+	if near := v.sameZone(others); s.requests%anyZone > 0 && len(near) > 0 {
+		others = near
 	}
 	s.next = now.Add(v.cfg.Period)
 	if s.done {
 		s.next = now.Add(firstLater << s.later)
 		s.later++
 	}
-	s.asks++
+	s.requests++
 	m := Message{Kind: SyncRequest}
 	if s.done {
 		m.Digest = v.digest()
@@ -73,7 +75,7 @@
 	return []Send{v.send(others[v.random.IntN(len(others))], m)}
 }
 
-// sameZone lists those of some boxes that stand in this one's zone.
+// sameZone returns those of the named boxes that are in this box's zone.
 func (v *View) sameZone(names []string) []string {
 	var out []string
 	for _, name := range names {
@@ -84,7 +86,7 @@
 	return out
 }
 
-// digest stands for the boxes that this one takes for live, each with its process.
+// digest returns a hash of the names and starts of the boxes that are not dead in this view.
 func (v *View) digest() uint64 {
 	sum := uint64(0)
 	for _, e := range v.boxes {
@@ -95,8 +97,8 @@
 	return sum
 }
 
-// sync tells another box all that this one knows first-hand or has heard, unless that box
-// knows the same.
+// sync returns the messages that carry this box's view to another one, unless the digest shows
+// that it has the same view. Boxes known only from the platform's list are left out.
 func (v *View) sync(to string, digest uint64) []Send {
 	if digest != 0 && digest == v.digest() {
 		return nil
@@ -109,34 +111,34 @@
 	return out
 }
 
-// hearSync takes in a part of the answer to a SyncRequest. An answer that lacks a part is asked
-// for again, at another box.
-func (v *View) hearSync(now time.Time, from string, m Message) {
+// receiveSync processes one part of the answer to a SyncRequest. If a part of the answer is
+// lost, the next request, which may go to another box, takes its place.
+func (v *View) receiveSync(now time.Time, from string, m Message) {
 	s := &v.syncing
 	if s.from != from {
-		s.from, s.told, s.learnt = from, 0, 0
+		s.from, s.received, s.learnt = from, 0, 0
 	}
-	s.told += len(m.Updates)
+	s.received += len(m.Updates)
 	for _, b := range m.Updates {
 		_, known := v.boxes[b.Name]
 		v.merge(now, b)
 		if !known {
 			s.learnt++
 		}
-		if e := v.boxes[b.Name]; e != nil && e.told == 0 && e.State == Live && b.Name != v.cfg.Self.Name {
-			// Every box asks, so this is no update to pass on.
-			e.told = untold
+		if e := v.boxes[b.Name]; e != nil && e.sent == 0 && e.State == Live && b.Name != v.cfg.Self.Name {
+			// Every started box asks for it, so the update is not spread further.
+			e.sent = neverSpread
 		}
 	}
 	total := max(m.Total, len(m.Updates))
-	if s.told < total {
+	if s.received < total {
 		return
 	}
-	little := float64(s.learnt) < learntShare*float64(len(v.boxes)) && s.asks >= leastSyncs
-	// One that knows few boxes has just started itself.
-	enough := total*2 >= len(v.boxes) && little
-	s.from, s.told, s.learnt = "", 0, 0
-	if !s.done && (enough || s.asks >= maxSyncs) {
+	fewNew := float64(s.learnt) < maxLearntShare*float64(len(v.boxes)) && s.requests >= minSyncs
+	// A box that knows few others has just started itself.
+	enough := total*2 >= len(v.boxes) && fewNew
+	s.from, s.received, s.learnt = "", 0, 0
+	if !s.done && (enough || s.requests >= maxSyncs) {
 		s.done = true
 		s.next = now.Add(firstLater)
 	}
--- a/state/member/sync_test.go
+++ b/state/member/sync_test.go
@@ -12,15 +12,15 @@
 	"runridge.example/runridge/state/locality"
 )
 
-// TestSyncOfALargeFleet has a box that starts ask one of a fleet for all that it knows. The answer
-// comes in parts; until the last one is there the box goes on asking.
+// TestSyncOfALargeFleet has a started box request the whole view of another one. The answer comes
+// in parts, and the initial synchronization must not end before the last part has arrived.
 func TestSyncOfALargeFleet(t *testing.T) {
 	cases := map[string]struct{ boxes, parts int }{
-		"a small fleet":             {10, 1},
-		"as many as a message has":  {MaxSync, 1},
-		"one more":                  {MaxSync + 1, 2},
-		"the fleet of 986":          {986, 4},
-		"the fleet at twice a size": {2000, 8},
+		"a small fleet":                {10, 1},
+		"as many as one message holds": {MaxSync, 1},
+		"one more":                     {MaxSync + 1, 2},
+		"986 boxes":                    {986, 4},
+		"2000 boxes":                   {2000, 8},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -37,17 +37,17 @@
 				t.Fatalf("%d parts, want %d", len(answer), c.parts)
 			}
 			// The second answer brings nothing new.
-			for range leastSyncs {
+			for range minSyncs {
 				for i, part := range answer {
 					if fresh.syncing.done {
-						t.Fatalf("taken for enough after %d of %d parts", i, c.parts)
+						t.Fatalf("synchronization ended after %d of %d parts", i, c.parts)
 					}
 					if len(part.Message.Updates) > MaxSync {
 						t.Fatalf("%d boxes in one message", len(part.Message.Updates))
 					}
 					fresh.Receive(now, "known", part.Message)
 				}
-				fresh.syncing.asks++
+				fresh.syncing.requests++
 			}
 			for _, part := range answer {
 				fresh.Receive(now, "known", part.Message)
@@ -60,26 +60,26 @@
 	t.Run("a part is lost", func(t *testing.T) {
 		now := time.Unix(1_700_000_000, 0)
 		fresh := New(Config{Self: Box{Name: "fresh"}}, now)
-		fresh.syncing.asks = leastSyncs
+		fresh.syncing.requests = minSyncs
 		part := func(name string) Message {
 			return Message{Kind: Sync, Total: 2, Updates: []Box{{Name: name, Incarnation: 1}}}
 		}
 		fresh.Receive(now, "a", part("a"))
 		fresh.Receive(now, "b", part("a"))
-		if fresh.syncing.told != 1 {
-			t.Fatalf("parts of two boxes were taken for one answer of %d", fresh.syncing.told)
+		if fresh.syncing.received != 1 {
+			t.Fatalf("parts from two boxes were counted as one answer with %d boxes", fresh.syncing.received)
 		}
 		fresh.Receive(now, "b", part("b"))
 		fresh.Receive(now, "c", part("a"))
 		fresh.Receive(now, "c", part("b"))
 		if !fresh.syncing.done {
-			t.Fatal("a whole answer that brought nothing new was not enough")
+			t.Fatal("a complete answer that brought nothing new did not end the synchronization")
 		}
 	})
 }
 
-// TestStateOfALaterBuild holds that a state which this build does not know changes nothing that
-// it knows of a box, whichever message tells it.
+// TestStateOfALaterBuild checks that an update with a state which only a later build knows is
+// ignored, in every kind of message.
 func TestStateOfALaterBuild(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	later := Dead + 1
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestSyncOfTheSame holds that who knows the same does not answer: later questions of a fleet
-// at rest cost next to nothing.
+// TestSyncOfTheSame checks that a box with the same view does not answer a request, so that later
+// requests in an unchanged fleet cost almost nothing.
 func TestSyncOfTheSame(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	box := func(name string, start uint64) Box { return Box{Name: name, Start: start, Incarnation: start} }
@@ -112,7 +112,7 @@
 	}{
 		{"b does not know a", Box{}, 1},
 		{"both know both", box("a", 1), 0},
-		{"a box has started anew", box("c", 2), 1},
+		{"another box has started", box("c", 2), 1},
 	}
 	a.Receive(now, "b", Message{Kind: Ping, Updates: []Box{box("b", 1)}})
 	for _, c := range cases {
@@ -120,15 +120,15 @@
 			b.Receive(now, c.learn.Name, Message{Kind: Ping, Updates: []Box{c.learn}})
 		}
 		if got := len(b.sync("a", a.digest())); got != c.parts {
-			t.Errorf("%s: an answer in %d parts, want %d", c.name, got, c.parts)
+			t.Errorf("%s: the answer has %d parts, want %d", c.name, got, c.parts)
 		}
 	}
 }
 
-// TestStartOfAFleet has all boxes of a fleet start within a moment, each with half of those
-// before it on the platform's list. All know all soon, and what that costs a box grows little
-// faster than the fleet: without questions until nothing is new, 300 boxes took over 40 s and
-// each told 2,900 updates by then.
+// TestStartOfAFleet starts all boxes of a fleet at once, each with half of the earlier ones on
+// the platform's list. All boxes must soon know each other, at a cost per box that grows little
+// faster than the fleet. Before boxes repeated their requests until an answer brought nothing
+// new, 300 boxes took over 40 s, and each had sent 2,900 updates by then.
 func TestStartOfAFleet(t *testing.T) {
 	cases := map[int]struct {
 		within  time.Duration
@@ -140,7 +140,7 @@
 	}
 	for n, c := range cases {
 		t.Run(fmt.Sprintf("%d boxes", n), func(t *testing.T) {
-			w := newSeededNet(0, locality.Map{}, 0)
+			w := newSeededNetwork(0, locality.Map{}, 0)
 			r := rand.New(rand.NewPCG(1, uint64(n)))
 			for i := range n {
 				w.join(fmt.Sprintf("b%04d", i), func() bool { return r.IntN(2) == 0 })
@@ -151,19 +151,19 @@
 			}
 			w.run(40 * time.Second)
 			if missing := w.missing(); missing > 0 {
-				t.Errorf("%d pairs do not know each other in the end", missing)
+				t.Errorf("%d pairs still do not know each other at the end", missing)
 			}
-			// A box says its own state on each of some four messages a second.
+			// A box sends its own state on each of its roughly four messages a second.
 			own := 4 * int((c.within + 40*time.Second).Seconds())
 			if got := w.carried/n - own; got > c.updates {
-				t.Errorf("each box told %d updates of others, want at most %d", got, c.updates)
+				t.Errorf("each box sent %d updates about others, want at most %d", got, c.updates)
 			}
 		})
 	}
 }
 
-// join starts a box that finds some of those before it on the platform's list.
-func (w *net) join(name string, listed func() bool) {
+// join starts a box that finds some of the earlier ones on the platform's list.
+func (w *network) join(name string, listed func() bool) {
 	w.zones[name] = fmt.Sprintf("z%d", len(w.names)%2)
 	start := uint64(w.now.UnixMilli()) + uint64(len(w.names))
 	self := Box{Name: name, Address: name, Zone: w.zones[name], Start: start, Incarnation: start}
@@ -176,8 +176,8 @@
 	w.names = append(w.names, name)
 }
 
-// missing counts the boxes that others do not know, or of whose start they have not heard.
-func (w *net) missing() int {
+// missing counts the pairs of boxes of which one does not know the other or its start.
+func (w *network) missing() int {
 	count := 0
 	for _, v := range w.views {
 		for _, name := range w.names {
@@ -189,27 +189,27 @@
 	return count
 }
 
-// TestAnswersToStartsTellNothingOn holds that what boxes have to be told is told as often as
-// before, however many boxes started meanwhile and were told all.
-func TestAnswersToStartsTellNothingOn(t *testing.T) {
+// TestSyncAnswersAreNotCountedAsSent checks that the answers to started boxes do not count as sent
+// updates: updates are spread as often as before, however many boxes start meanwhile.
+func TestSyncAnswersAreNotCountedAsSent(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	v := New(Config{Self: Box{Name: "self", Start: 1, Incarnation: 1}}, now)
 	for i := range 40 {
 		b := Box{Name: fmt.Sprintf("b%02d", i), Start: 1, Incarnation: 1}
 		v.Receive(now, b.Name, Message{Kind: Ping, Updates: []Box{b}})
 	}
-	told := func() int {
+	countSent := func() int {
 		n := 0
 		for _, e := range v.boxes {
-			n += e.told
+			n += e.sent
 		}
 		return n
 	}
-	before := told()
+	before := countSent()
 	for i := range 40 {
 		v.Receive(now, fmt.Sprintf("fresh%02d", i), Message{Kind: SyncRequest})
 	}
-	if got := told(); got != before {
-		t.Errorf("%d updates count as told, want %d", got, before)
+	if got := countSent(); got != before {
+		t.Errorf("%d updates count as sent, want %d", got, before)
 	}
 }
