--- a/state/directory/cold.go
+++ b/state/directory/cold.go
@@ -6,34 +6,33 @@
 import "time"
 
 const (
-	// lateReport is by how much later a further report of one cold spell may seem to end
-	// it: each is the time that was left when the endpoint wrote it, and is read up to
-	// a heartbeat later, so the earlier end is the right one.
-	lateReport = 1500 * time.Millisecond
-	// soonerReport is by how much sooner an end has to be to be worth a change of the
-	// directory.
-	soonerReport = 500 * time.Millisecond
+	// maxLaterEnd is how much later a further report of the same cold period may put its
+	// end: a report holds the time remaining when the endpoint wrote it and is read up to
+	// a heartbeat later, so the earliest reported end is the right one.
+	maxLaterEnd = 1500 * time.Millisecond
+	// minEarlierEnd is how much earlier a reported end must be to change the directory.
+	minEarlierEnd = 500 * time.Millisecond
 )
 
-// ColdEnd is until when the endpoint is taken for cold; start is for how long one of
-// its service is cold after a start. One that has just started is cold, whatever its
-// entry leaves out.
+// ColdEnd returns the time until which the endpoint counts as cold. start is how long an
+// endpoint of its service is cold after a start. An endpoint that has just started is cold
+// even if its entry does not report it.
 func (w Status) ColdEnd(start time.Duration) time.Time {
-	if begun := w.StartedAt.Add(start); !w.StartedAt.IsZero() && begun.After(w.ColdUntil) {
-		return begun
+	if startEnd := w.StartedAt.Add(start); !w.StartedAt.IsZero() && startEnd.After(w.ColdUntil) {
+		return startEnd
 	}
 	return w.ColdUntil
 }
 
-// WithStart returns the status of an endpoint that is taken to have just started, and
-// has reported nothing of it yet: one that got no work for a while may have lost its caches.
+// WithStart returns the status of an endpoint that counts as just started and has not
+// reported yet how long it is cold: without work for a while it may have lost its caches.
 func (w Status) WithStart(now time.Time) Status {
 	w.StartedAt = now
 	return w
 }
 
-// coldUntil is when the endpoint is warm after a further report. The same report
-// read again later does not extend a spell.
+// coldUntil returns the end of the endpoint's cold period after a further report. Reading
+// the same report again later does not extend the period.
 func (w Status) coldUntil(now time.Time, e Entry) time.Time {
 	reported := now.Add(e.ColdFor)
 	later := reported.Sub(w.ColdUntil)
@@ -43,27 +42,27 @@
 	case e.ColdFor == w.ColdFor && now.Before(w.ColdUntil):
 		return w.ColdUntil
 	case e.ColdFor > w.ColdFor:
-		// The time that is left of one spell only falls.
+		// The remaining time of one cold period only falls, so this is another one.
 		return reported
-	case -soonerReport <= later && later <= lateReport:
+	case -minEarlierEnd <= later && later <= maxLaterEnd:
 		return w.ColdUntil
 	default:
 		return reported
 	}
 }
 
-// same says whether nothing has changed that others go by. The time for which an
-// endpoint is still cold falls in each of its heartbeats.
-func (w *Status) same(old *Status) bool {
+// unchangedFrom reports whether nothing has changed that counts as a change of the directory. ColdFor
+// is not compared, since it falls with each heartbeat of a cold endpoint.
+func (w *Status) unchangedFrom(old *Status) bool {
 	entry := w.Entry
 	entry.ColdFor = old.ColdFor
 	return entry == old.Entry && w.Gone == old.Gone && w.InGrace == old.InGrace && w.ColdUntil.Equal(old.ColdUntil) && w.StartedAt.Equal(old.StartedAt)
 }
 
-// refreshed returns the directory with newer reports of endpoints for which nothing else
-// has changed. It is no change of the directory: whole lists for other boxes have
-// the newer reports, and nobody groups endpoints anew.
-func (d Directory) refreshed(statuses map[string]*Status) Directory {
+// withReports returns the directory with newer reports of endpoints for which nothing else has
+// changed. The revision stays: whole lists for other boxes contain the newer reports, but
+// endpoints are not grouped again.
+func (d Directory) withReports(statuses map[string]*Status) Directory {
 	for id, w := range statuses {
 		d.statuses = d.all().Set(id, w)
 	}
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package directory knows the endpoints of routed services. They announce
-// themselves in the platform, beside the table, which does not list them. The
-// package is pure: times are arguments and a Directory is an immutable value.
+// Package directory holds the endpoints of routed services. They register
+// themselves in the platform and are not listed in the table. The package does no
+// I/O: times are arguments, and a Directory is an immutable value.
 package directory
 
 import (
@@ -22,8 +22,8 @@
 	StageDecode  = "decode"
 )
 
-// Entry is what an endpoint says of itself. ID stands for one start of it, together with
-// Born where endpoints start again under their ids.
+// Entry is an endpoint's description of itself. ID identifies one start of it, together with
+// Born if endpoints keep their ids when they restart.
 type Entry struct {
 	ID      string
 	Service string
@@ -32,90 +32,92 @@
 	// Stage is one of the Stage constants.
 	Stage string
 	Slots int
-	// Draining endpoints are about to end and get no new work.
+	// Draining endpoints are about to stop and get no new work.
 	Draining bool
-	// ColdFor is how much longer the endpoint was slow when it said so; 0 is not.
+	// ColdFor is how much longer the endpoint is cold, as of its report; 0 is not cold.
 	ColdFor time.Duration
-	// Born is the Unix millisecond of its start; 0 is not said.
+	// Born is the Unix time of its start in milliseconds; 0 means not reported.
 	Born int64
 }
 
-// Status is an entry with what is known of its standing.
+// Status is an endpoint's entry and its state in the directory.
 type Status struct {
 	Entry
-	// Gone says that the platform does not list the endpoint any more; Since
-	// is when this was seen here. It may go on serving for a while.
+	// Gone means that the platform no longer lists the endpoint, which may go on
+	// serving for a while. Since is when this box learned of the latest change.
 	Gone  bool
 	Since time.Time
-	// Left says that the endpoint itself proved not to be this one any more.
+	// Left means that another endpoint was found to answer at this one's address.
 	Left bool
-	// InGrace says that the platform does not list the endpoint, and may list it
-	// again: its entry may have lapsed while the platform was away.
+	// InGrace means that the platform does not list the endpoint but may list it
+	// again: its entry may have expired while the platform was unavailable.
 	InGrace bool
-	// StartedAt is when the endpoint is taken to have just started: it appeared while
-	// this box followed the list, or its zone was taken back. Zero is neither, or that
-	// it has reported since for how long it is cold.
+	// StartedAt is when the endpoint began to count as just started: it appeared while
+	// this box followed the list, or the drain of its zone ended. It is zero otherwise,
+	// and once the endpoint has reported how long it is cold.
 	StartedAt time.Time
-	// ColdUntil is until when the endpoint is slow by its own report; zero if it never
-	// made one. ColdEnd is what to go by.
+	// ColdUntil is the end of the cold period that the endpoint reported; zero if it
+	// never reported one. Use ColdEnd, which also considers StartedAt.
 	ColdUntil time.Time
-	// ZoneDrained says that the endpoint's availability zone is drained.
+	// ZoneDrained means that the endpoint's availability zone is drained.
 	ZoneDrained bool
 }
 
-// Usable says whether the endpoint may get new work.
+// Usable reports whether the endpoint may get new work.
 func (w Status) Usable() bool { return !w.Gone && !w.Draining && !w.Left && !w.ZoneDrained }
 
-// Directory is all that is known of endpoints.
+// Directory holds the status of every known endpoint. It is an immutable value.
 type Directory struct {
-	// revision counts the changes here.
+	// revision counts the changes of this directory.
 	revision uint64
-	// at is the platform's revision that the directory stands at.
+	// at is the position in the platform's history that the directory reflects; 0 is none.
 	at uint64
-	// statuses shares what did not change with the directory before, so that a change
-	// of one endpoint copies little however many there are.
+	// statuses maps ids to endpoints. The map shares its unchanged parts with that of the
+	// previous directory, so that a change copies little however many endpoints there are.
 	statuses *immutable.Map[string, *Status]
-	// gone counts the endpoints that are remembered and gone.
+	// gone is the number of remembered endpoints that are gone.
 	gone int
-	// recent are the last changes.
-	recent []touched
-	// graceUntil is until when an entry that is missing may only have lapsed.
+	// recent lists the latest changes, the newest last.
+	recent []changeRecord
+	// graceUntil is the time until which a missing entry may merely have expired.
 	graceUntil time.Time
-	// heldUntil is until when whole lists are those of a store that came back older.
+	// heldUntil is the time until which whole lists may come from a store that was
+	// restored from an older copy.
 	heldUntil time.Time
-	// drained are the drained availability zones. The map is never written to.
+	// drained is the set of drained availability zones. The map is never modified.
 	drained map[string]bool
 }
 
-// touched is which endpoints a change touched.
-type touched struct {
+// changeRecord lists the endpoints that a change affected.
+type changeRecord struct {
 	revision uint64
 	ids      []string
 }
 
-// maxRecent is how many changes are remembered: more than gather between two
-// looks at what has changed.
+// maxRecent is the number of remembered changes. It is larger than the number that
+// accumulates between two calls of ChangedSince by one user.
 const maxRecent = 64
 
-// none is a directory's first map.
+// none is the map of a directory without endpoints.
 var none = immutable.NewMap[string, *Status](nil)
 
-// Change is one change on the platform.
+// Change is one change on the platform: an entry that was written, or removed if Gone
+// is set.
 type Change struct {
 	Entry Entry
 	Gone  bool
 }
 
-// Revision counts the changes of this directory.
+// Revision returns the number of changes of this directory.
 func (d Directory) Revision() uint64 { return d.revision }
 
-// At is the platform's revision that the directory stands at; 0 is none.
+// At returns the position in the platform's history that the directory reflects; 0 is none.
 func (d Directory) At() uint64 { return d.at }
 
-// Known says whether the platform was ever heard.
+// Known reports whether the directory has ever received data of the platform.
 func (d Directory) Known() bool { return d.at > 0 }
 
-// all are the endpoints by id.
+// all returns the endpoints by id; the map is never nil.
 func (d Directory) all() *immutable.Map[string, *Status] {
 	if d.statuses == nil {
 		return none
@@ -123,7 +125,7 @@
 	return d.statuses
 }
 
-// Status finds an endpoint by id.
+// Status returns the status of an endpoint, and false if its id is not known.
 func (d Directory) Status(id string) (Status, bool) {
 	w, ok := d.all().Get(id)
 	if !ok {
@@ -132,10 +134,10 @@
 	return *w, true
 }
 
-// Len is the number of endpoints that are remembered, those gone included.
+// Len returns the number of remembered endpoints, those gone included.
 func (d Directory) Len() int { return d.all().Len() }
 
-// each calls a function for every endpoint.
+// each calls visit for every endpoint.
 func (d Directory) each(visit func(w *Status)) {
 	for i := d.all().Iterator(); !i.Done(); {
 		_, w, _ := i.Next()
@@ -143,14 +145,14 @@
 	}
 }
 
-// IDs lists the ids of all endpoints that are remembered.
+// IDs lists the ids of all remembered endpoints.
 func (d Directory) IDs() []string {
 	out := make([]string, 0, d.Len())
 	d.each(func(w *Status) { out = append(out, w.ID) })
 	return out
 }
 
-// Statuses lists the endpoints of a service, in the order of their ids.
+// Statuses lists the endpoints of a service, sorted by id.
 func (d Directory) Statuses(service string) []Status {
 	var out []Status
 	d.each(func(w *Status) {
@@ -162,8 +164,9 @@
 	return out
 }
 
-// ChangedSince lists the endpoints that changed after a revision of this
-// directory, some perhaps twice; false means that it is not remembered.
+// ChangedSince lists the ids of the endpoints that changed after a revision of this
+// directory, possibly with duplicates. It returns false if the changes since then are
+// no longer remembered.
 func (d Directory) ChangedSince(revision uint64) ([]string, bool) {
 	if revision == d.revision {
 		return nil, true
@@ -181,8 +184,8 @@
 	return nil, false
 }
 
-// with returns the directory with some endpoints replaced, or removed where there
-// is no status. It is one change.
+// with returns the directory with some endpoints replaced, or removed if their status
+// is nil. This counts as one change.
 func (d Directory) with(statuses map[string]*Status) Directory {
 	ids := slices.Sorted(maps.Keys(statuses))
 	for _, id := range ids {
@@ -201,18 +204,18 @@
 	}
 	d.revision++
 	first := max(len(d.recent)+1-maxRecent, 0)
-	d.recent = append(slices.Clone(d.recent[first:]), touched{revision: d.revision, ids: ids})
+	d.recent = append(slices.Clone(d.recent[first:]), changeRecord{revision: d.revision, ids: ids})
 	return d
 }
 
-// WithList returns the directory after a whole list as of a revision. What is
-// not on the list is gone.
+// WithList returns the directory after a whole list as of a position. Endpoints that
+// are not on the list are gone. A list older than the directory changes nothing.
 func (d Directory) WithList(now time.Time, at uint64, list []Entry) Directory {
 	listed := make(map[string]bool, len(list))
 	var changes []Change
 	for _, e := range list {
 		listed[e.ID] = true
-		if e, holds := d.against(now, e); holds {
+		if e, holds := d.reconcile(now, e); holds {
 			changes = append(changes, Change{Entry: e})
 		}
 	}
@@ -224,8 +227,8 @@
 	return d.WithChanges(now, at, changes)
 }
 
-// WithChanges returns the directory after changes up to a revision. Changes
-// older than the directory are dropped.
+// WithChanges returns the directory after changes up to a position. Changes older than
+// the directory are dropped.
 func (d Directory) WithChanges(now time.Time, at uint64, changes []Change) Directory {
 	if at < d.at {
 		return d
@@ -259,7 +262,7 @@
 		if c.Gone && now.Before(d.graceUntil) && !old.Gone {
 			w.Gone, w.InGrace = false, true
 		}
-		if known && w.same(old) {
+		if known && w.unchangedFrom(old) {
 			if w.ColdFor != old.ColdFor && changed[w.ID] == nil {
 				refreshed[w.ID] = w
 			}
@@ -267,15 +270,15 @@
 		}
 		changed[c.Entry.ID] = w
 	}
-	d = d.refreshed(refreshed)
+	d = d.withReports(refreshed)
 	if len(changed) == 0 {
 		return d
 	}
 	return d.with(changed)
 }
 
-// WithLeft returns the directory after proof that the endpoint under an id is
-// not there any more: another one answered at its address.
+// WithLeft returns the directory after another endpoint answered at the address of the
+// one with this id, which proves that this one is no longer there.
 func (d Directory) WithLeft(id string) Directory {
 	w, ok := d.Status(id)
 	if !ok || w.Left {
@@ -285,8 +288,8 @@
 	return d.with(map[string]*Status{id: &w})
 }
 
-// Without returns the directory without endpoints that have been gone for
-// longer than keep.
+// Without returns the directory without the endpoints that have been gone for longer
+// than keep.
 func (d Directory) Without(now time.Time, keep time.Duration) Directory {
 	if d.gone == 0 {
 		return d
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -48,7 +48,7 @@
 		w, _ := d.Status("a")
 		convey.So(w.Usable(), convey.ShouldBeFalse)
 	})
-	convey.Convey("A drained zone touches its own endpoints alone, those that come later too", t, func() {
+	convey.Convey("A drained zone affects only its own endpoints, later ones included", t, func() {
 		other := entry("b", "s", "2")
 		other.Zone = "zone-b"
 		d := Directory{}.WithList(start, 10, []Entry{entry("a", "s", "1"), other})
@@ -71,7 +71,7 @@
 		w, _ = later.WithDrained(back, nil).Status("b")
 		convey.So(w.ColdEnd(time.Second), convey.ShouldHappenBefore, back)
 	})
-	convey.Convey("The gone are forgotten after a while, the living never", t, func() {
+	convey.Convey("Endpoints that are gone are forgotten after a while, the others never", t, func() {
 		d := Directory{}.WithList(start, 10, []Entry{entry("a", "s", "1"), entry("b", "s", "2")})
 		d = d.WithChanges(start, 11, []Change{{Entry: Entry{ID: "b"}, Gone: true}})
 		convey.So(d.Without(start.Add(time.Second), 2*time.Second).Len(), convey.ShouldEqual, 2)
@@ -88,7 +88,7 @@
 		},
 		Routes: []table.Route{{Prefix: "/m/", TargetMS: 900, GapMS: 300, Targets: []table.RouteTarget{{Service: "model", Weight: 1}}}},
 	}
-	convey.Convey("Endpoints stand in the pools of their services, by stage", t, func() {
+	convey.Convey("Endpoints are in the pools of their services, by stage", t, func() {
 		pre, dec := entry("pre", "model", "1"), entry("dec", "model", "2")
 		pre.Stage, dec.Stage = StagePrefill, StageDecode
 		leaving := entry("p2", "plain", "4")
@@ -114,18 +114,18 @@
 	})
 }
 
-// TestOracleDirectory compares the directory with a store that it follows by
-// lists and changes, some of which come twice or late.
+// TestOracleDirectory compares the directory with a store that it follows through
+// lists and changes, some of which arrive twice or late.
 func TestOracleDirectory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := []string{"a", "b", "c", "d"}
-		type fact struct {
+		type historyEntry struct {
 			at      uint64
 			change  Change
 			present map[string]Entry
 		}
 		truth := map[string]Entry{}
-		history := []fact{{present: map[string]Entry{}}}
+		history := []historyEntry{{present: map[string]Entry{}}}
 		for at := uint64(1); at <= 30; at++ {
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			e := entry(id, "s", rapid.SampledFrom([]string{"1", "2"}).Draw(t, "address"))
@@ -140,7 +140,7 @@
 			for k, v := range truth {
 				present[k] = v
 			}
-			history = append(history, fact{at: at, change: c, present: present})
+			history = append(history, historyEntry{at: at, change: c, present: present})
 		}
 		d := Directory{}
 		left := map[string]bool{}
@@ -184,5 +184,5 @@
 	})
 }
 
-// TestMain fixes the seed of the model-based test.
+// TestMain fixes the seed of the property tests.
 func TestMain(m *testing.M) { os.Exit(seed.Run(m, 5000)) }
--- a/state/directory/drained.go
+++ b/state/directory/drained.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// WithDrained returns the directory under a set of drained availability zones. It
-// holds for endpoints that come later too, and until another set takes its place. The
-// endpoints of a zone that is taken back are taken to have just started: without work
-// they may have lost their caches, and their entries tell it up to two seconds later.
+// WithDrained returns the directory with another set of drained availability zones, which
+// also applies to endpoints that appear later. The endpoints of a zone whose drain ended
+// count as just started: without work they may have lost their caches, and their entries
+// report it up to two seconds later.
 func (d Directory) WithDrained(now time.Time, zones map[string]bool) Directory {
 	d.drained = maps.Clone(zones)
 	changed := make(map[string]*Status)
@@ -22,7 +22,7 @@
 		next := *w
 		next.ZoneDrained = zones[w.Zone]
 		if w.ZoneDrained {
-			// It got nothing for as long, and its last report may be a heartbeat old.
+			// It got no work during the drain, and its last report may be a heartbeat old.
 			next = next.WithStart(now)
 		}
 		changed[w.ID] = &next
@@ -33,5 +33,5 @@
 	return d.with(changed)
 }
 
-// ZoneDrained says whether an availability zone is drained.
+// ZoneDrained reports whether an availability zone is drained.
 func (d Directory) ZoneDrained(zone string) bool { return d.drained[zone] }
--- a/state/directory/grace.go
+++ b/state/directory/grace.go
@@ -5,17 +5,17 @@
 
 import "time"
 
-// WithGrace returns the directory of a box to which the platform has just come
-// back: entries that are missing until then may only have lapsed while it was
-// away, and their endpoints go on being used. Those that had said that they
-// leave get nothing all the same.
+// WithGrace returns the directory with a grace period after an outage of the
+// platform: entries that are missing until its end may merely have expired during
+// the outage, so their endpoints stay in use. Endpoints that had reported that
+// they leave still get no work.
 func (d Directory) WithGrace(until time.Time) Directory {
 	d.graceUntil = until
 	return d
 }
 
-// WithoutGrace returns the directory once the grace period is over: what is still
-// missing is gone.
+// WithoutGrace returns the directory after the grace period: endpoints whose entries
+// are still missing are gone. It changes nothing before the period ends.
 func (d Directory) WithoutGrace(now time.Time) Directory {
 	if now.Before(d.graceUntil) {
 		return d
--- a/state/directory/grace_test.go
+++ b/state/directory/grace_test.go
@@ -20,17 +20,17 @@
 		id        string
 		usable    bool
 	}{
-		"missing in a list":                  {known.WithList(begin, 2, listed[1:]), "a", true},
-		"gone by a change":                   {known.WithChanges(begin, 2, gone("a")), "a", true},
-		"had said that it leaves":            {known.WithChanges(begin, 2, gone("b")), "b", false},
-		"still missing at the end":           {known.WithChanges(begin, 2, gone("a")).WithoutGrace(begin.Add(2 * time.Second)), "a", false},
-		"not the end yet":                    {known.WithChanges(begin, 2, gone("a")).WithoutGrace(begin.Add(time.Second)), "a", true},
-		"back before the end":                {known.WithChanges(begin, 2, gone("a")).WithList(begin, 3, listed).WithoutGrace(begin.Add(3 * time.Second)), "a", true},
-		"goes when there is no grace period": {known.WithChanges(begin.Add(3*time.Second), 2, gone("a")), "a", false},
-		"another is there at its place":      {known.WithChanges(begin, 2, gone("a")).WithLeft("a"), "a", false},
-		"told to others as gone":             {known.WithUpdate(begin, known.WithChanges(begin, 2, gone("a")).All()).WithoutGrace(begin.Add(2 * time.Second)), "a", false},
-		"says that it leaves, then goes":     {known.WithChanges(begin, 2, []Change{{Entry: Entry{ID: "a", Service: "s", Draining: true}}}).WithChanges(begin, 3, gone("a")), "a", false},
-		"said so in the same changes":        {known.WithChanges(begin, 3, []Change{{Entry: Entry{ID: "a", Service: "s", Draining: true}}, gone("a")[0]}), "a", false},
+		"missing in a list":                 {known.WithList(begin, 2, listed[1:]), "a", true},
+		"gone by a change":                  {known.WithChanges(begin, 2, gone("a")), "a", true},
+		"had reported that it leaves":       {known.WithChanges(begin, 2, gone("b")), "b", false},
+		"still missing at the end":          {known.WithChanges(begin, 2, gone("a")).WithoutGrace(begin.Add(2 * time.Second)), "a", false},
+		"before the end":                    {known.WithChanges(begin, 2, gone("a")).WithoutGrace(begin.Add(time.Second)), "a", true},
+		"back before the end":               {known.WithChanges(begin, 2, gone("a")).WithList(begin, 3, listed).WithoutGrace(begin.Add(3 * time.Second)), "a", true},
+		"gone without a grace period":       {known.WithChanges(begin.Add(3*time.Second), 2, gone("a")), "a", false},
+		"another answers at its address":    {known.WithChanges(begin, 2, gone("a")).WithLeft("a"), "a", false},
+		"gone in another box's update":      {known.WithUpdate(begin, known.WithChanges(begin, 2, gone("a")).All()).WithoutGrace(begin.Add(2 * time.Second)), "a", false},
+		"reports that it leaves, then gone": {known.WithChanges(begin, 2, []Change{{Entry: Entry{ID: "a", Service: "s", Draining: true}}}).WithChanges(begin, 3, gone("a")), "a", false},
+		"reported in the same changes":      {known.WithChanges(begin, 3, []Change{{Entry: Entry{ID: "a", Service: "s", Draining: true}}, gone("a")[0]}), "a", false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/state/directory/held.go
+++ b/state/directory/held.go
@@ -5,15 +5,16 @@
 
 import "time"
 
-// WithHeld returns the directory of a box whose platform has come back from an older copy:
-// for a time whole lists have entries as they were before what is known here, until their
-// endpoints have written them again. Single changes are such writes, and hold.
+// WithHeld returns the directory after the platform was restored from an older copy. Until the
+// given time whole lists may contain entries older than those known here, as their endpoints
+// have not written them again yet. Single changes are new writes and always apply.
 func (d Directory) WithHeld(until time.Time) Directory {
 	d.heldUntil = until
 	return d
 }
 
-// WithPosition returns the directory as of another position, if it is known.
+// WithPosition returns the directory moved to another position of the platform. A directory
+// that has received no data yet stays as it is.
 func (d Directory) WithPosition(at uint64) Directory {
 	if d.Known() {
 		d.at = at
@@ -21,10 +22,10 @@
 	return d
 }
 
-// against is a listed entry in the light of what is known of its endpoint; false is that it
-// tells nothing. An endpoint that has left, or said that it leaves, does so for the rest of
-// its start.
-func (d Directory) against(now time.Time, e Entry) (Entry, bool) {
+// reconcile compares a listed entry with what is known about its endpoint. It returns the entry to
+// apply, or false if the listed one is to be ignored. An endpoint that is gone or has reported that
+// it leaves stays so until it restarts.
+func (d Directory) reconcile(now time.Time, e Entry) (Entry, bool) {
 	if !now.Before(d.heldUntil) {
 		return e, true
 	}
--- a/state/directory/held_test.go
+++ b/state/directory/held_test.go
@@ -10,23 +10,24 @@
 	"runridge.example/runridge/state/position"
 )
 
-// TestEntriesOfAnOlderCopy has the platform come back with an entry as it was before.
+// TestEntriesOfAnOlderCopy restores the platform from a copy in which an entry is older than
+// the one known here.
 func TestEntriesOfAnOlderCopy(t *testing.T) {
 	ready, leaving := Entry{ID: "e", Service: "s", Born: 5}, Entry{ID: "e", Service: "s", Born: 5, Draining: true}
 	earlier, later := Entry{ID: "e", Service: "s", Born: 4}, Entry{ID: "e", Service: "s", Born: 6}
 	const hold, grace = 5 * time.Second, 2 * time.Second
 	cases := map[string]struct {
-		// known is what was known last before, and listed what the copy has.
+		// known is the latest change before the restore, and listed the list of the copy.
 		known  Change
 		listed []Entry
-		// changes come after it, and after is the time since the return.
+		// changes follow the list, and after is the time since the restore.
 		changes []Change
 		after   time.Duration
-		// again is what a second list has, read after that time.
+		// again is a second list, read after that time.
 		again  []Entry
 		usable bool
 	}{
-		"serves on":                          {known: Change{Entry: ready}, listed: []Entry{ready}, usable: true},
+		"goes on serving":                    {known: Change{Entry: ready}, listed: []Entry{ready}, usable: true},
 		"leaves":                             {known: Change{Entry: leaving}, listed: []Entry{ready}},
 		"left":                               {known: Change{Entry: ready, Gone: true}, listed: []Entry{ready}},
 		"left, and writes its entry again":   {known: Change{Entry: ready, Gone: true}, listed: []Entry{ready}, changes: []Change{{Entry: ready}}, usable: true},
@@ -48,7 +49,7 @@
 			d = d.WithHeld(now.Add(hold)).WithGrace(now.Add(grace))
 			d = d.WithList(now, position.Of(2, 20), c.listed)
 			if d.At() != position.Of(2, 20) {
-				t.Fatalf("stands at %d", d.At())
+				t.Fatalf("the directory is at %d", d.At())
 			}
 			d = d.WithChanges(now, position.Of(2, 21), c.changes)
 			now = now.Add(c.after)
--- a/state/directory/history.go
+++ b/state/directory/history.go
@@ -5,20 +5,21 @@
 
 import "slices"
 
-// maxHistory is how many changes are kept for boxes that missed them: those of a
-// third of 3,000 endpoints, some 0.1 MB.
+// maxHistory is the number of changes kept for boxes that missed them: one for each of a
+// third of 3,000 endpoints, about 0.1 MB.
 const maxHistory = 1000
 
-// History is the last changes that a box has taken in, for boxes that missed some
-// of them: the whole list of 3,000 endpoints is 240 KB, and a fleet of 300 boxes that
-// starts misses changes some 2,000 times. The zero value has none; it is immutable.
+// History holds the latest changes that a box has applied, for boxes that missed some of
+// them. It avoids sending the whole list: that of 3,000 endpoints is 240 KB, and in a
+// fleet of 300 starting boxes changes are missed about 2,000 times. The zero value is
+// empty; a History is immutable.
 type History struct {
 	updates []Update
 	changes int
 }
 
-// With returns the history after an update that was taken in. A whole list, or a
-// gap, begins it anew.
+// With returns the history after an applied update. After a whole list or a gap the
+// history is empty.
 func (h History) With(n Update) History {
 	if n.Whole || len(h.updates) > 0 && n.After > h.at() {
 		return History{}
@@ -35,11 +36,11 @@
 	return History{updates: updates, changes: changes}
 }
 
-// at is where the history stands.
+// at returns the position of the latest update; there must be one.
 func (h History) at() uint64 { return h.updates[len(h.updates)-1].At }
 
-// Since joins the changes after a position into one update. It reports false if
-// some of them are not kept any more.
+// Since returns the changes after a position as one update, and false if some of them
+// are no longer kept.
 func (h History) Since(have uint64) (Update, bool) {
 	if len(h.updates) == 0 || have < h.updates[0].After {
 		return Update{}, false
--- a/state/directory/history_test.go
+++ b/state/directory/history_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestHistoryFillsGaps plays updates, some of them repeated, overlapping or whole, to
-// a directory with its history, and holds that what the history answers brings a
-// directory of any earlier position to the same standing.
+// TestHistoryFillsGaps applies updates, some of which overlap or repeat earlier ones, to a
+// directory and its history, and checks that the history's answer brings a directory at any
+// earlier position to the same state.
 func TestHistoryFillsGaps(t *testing.T) {
 	now := time.Unix(0, 0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -28,7 +28,7 @@
 				n.Changes = append(n.Changes, Change{Entry: Entry{ID: id, Slots: int(n.At)}, Gone: rapid.Bool().Draw(t, "gone")})
 			}
 			if n.At == d.At() {
-				// A position says all that there was before it.
+				// A position includes all changes up to it.
 				n.Changes = nil
 			}
 			before := d.At()
@@ -44,12 +44,12 @@
 				continue
 			}
 			if !old.Fits(n) || n.At != d.At() {
-				t.Fatalf("the answer to %d goes from %d to %d, the directory stands at %d", at, n.After, n.At, d.At())
+				t.Fatalf("the answer to %d goes from %d to %d, the directory is at %d", at, n.After, n.At, d.At())
 			}
-			caught := old.WithUpdate(now, n)
+			caughtUp := old.WithUpdate(now, n)
 			for _, id := range d.IDs() {
 				want, _ := d.Status(id)
-				got, _ := caught.Status(id)
+				got, _ := caughtUp.Status(id)
 				if want.Usable() != got.Usable() || want.Usable() && want.Slots != got.Slots {
 					t.Fatalf("after the answer to %d endpoint %s is %+v, want %+v", at, id, got, want)
 				}
--- a/state/directory/merge.go
+++ b/state/directory/merge.go
@@ -10,19 +10,19 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Starting values for engines of routed services, until the boxes have learnt
-// their real times: those of a mid-size accelerator.
+// Initial estimates for engines of routed services, used until the boxes have
+// measured the real times. They are those of a mid-size accelerator.
 const (
-	startPrefillTokensPerSecond = 40_000
-	startStepBaseUS             = 1000
-	startStepPerRequestUS       = 20
-	// besideBatch is how much slower an engine prefills beside its batch.
-	besideBatch = 2
+	initialPrefillTokensPerSecond = 40_000
+	initialStepBaseUS             = 1000
+	initialStepPerRequestUS       = 20
+	// decodeSlowdown is how many times slower an engine prefills while it decodes a batch.
+	decodeSlowdown = 2
 )
 
-// Merge returns the table with the endpoints of its routed services filled in
-// from the directory: a service with engine limits becomes a model service
-// with a prefill and a decode pool, another a plain one. The generation stays.
+// Merge returns the table with the endpoints of its routed services added from the
+// directory. A routed service with engine limits becomes a model service with a
+// prefill and a decode pool, any other a plain service. The generation stays.
 func Merge(t table.Table, d Directory) table.Table {
 	services := slices.Clone(t.Services)
 	out := t
@@ -53,7 +53,7 @@
 		if s.Kind != table.KindRouted {
 			continue
 		}
-		for _, role := range roles(s) {
+		for _, role := range poolRoles(s) {
 			pool := PoolName(s.Name, role)
 			out.Pools = append(out.Pools, table.Pool{Name: pool, Role: role})
 			out.Rows = append(out.Rows, table.Row{Service: s.Name, Pool: pool, Weights: zones})
@@ -62,6 +62,7 @@
 	return out
 }
 
+// zoneList returns the known zones and, sorted, those that only the names contain.
 func zoneList(known []table.Zone, names map[string]int) []table.Zone {
 	out := slices.Clone(known)
 	for _, name := range slices.Sorted(maps.Keys(names)) {
@@ -72,17 +73,18 @@
 	return out
 }
 
-func roles(s table.Service) []string {
+// poolRoles lists the roles of a routed service's pools.
+func poolRoles(s table.Service) []string {
 	if s.Engine == nil {
 		return []string{table.RolePlain}
 	}
 	return []string{table.RolePrefill, table.RoleDecode}
 }
 
-// PoolName names the pool of a routed service's endpoints with one role.
+// PoolName returns the name of the pool of a routed service's endpoints with one role.
 func PoolName(service, role string) string { return service + "/" + role }
 
-// withTargets gives a routed service its kind and the widest targets of the
+// withTargets returns a routed service with its kind and the longest targets of the
 // routes that lead to it.
 func withTargets(s table.Service, routes []table.Route) table.Service {
 	s.Kind = table.KindPlain
@@ -94,21 +96,21 @@
 			continue
 		}
 		s.FirstTokenMS = max(s.FirstTokenMS, r.TargetMS)
-		s.PerTokenMS = max(s.PerTokenMS, perToken(r, s.Engine))
+		s.PerTokenMS = max(s.PerTokenMS, perTokenTarget(r, s.Engine))
 	}
 	return s
 }
 
-// perToken is a route's target between two tokens, in milliseconds: the target
-// between two events is for all the tokens of one.
-func perToken(r table.Route, e *table.EngineLimits) int {
+// perTokenTarget returns a route's target between two tokens, in milliseconds: the target
+// between two events divided by the tokens per event.
+func perTokenTarget(r table.Route, e *table.EngineLimits) int {
 	if e == nil || e.TokensPerEvent <= 1 || r.GapMS == 0 {
 		return r.GapMS
 	}
 	return max(r.GapMS/e.TokensPerEvent, 1)
 }
 
-// EndpointOf is an endpoint of a routed service as the table would have it.
+// EndpointOf returns an endpoint of a routed service in the form of the table.
 func EndpointOf(s table.Service, w Status) table.Endpoint {
 	e := table.Endpoint{
 		Name:    w.ID,
@@ -130,11 +132,11 @@
 	}
 	e.KVTokens = s.Engine.KVTokens
 	e.KVBytesPerToken = s.Engine.KVBytesPerToken
-	e.PrefillTokensPerSecond = startPrefillTokensPerSecond
+	e.PrefillTokensPerSecond = initialPrefillTokensPerSecond
 	if w.Stage == StageDecode {
-		e.PrefillTokensPerSecond = startPrefillTokensPerSecond / besideBatch
+		e.PrefillTokensPerSecond = initialPrefillTokensPerSecond / decodeSlowdown
 	}
-	e.StepBaseUS = startStepBaseUS
-	e.StepPerRequestUS = startStepPerRequestUS
+	e.StepBaseUS = initialStepBaseUS
+	e.StepPerRequestUS = initialStepPerRequestUS
 	return e
 }
--- a/state/directory/update.go
+++ b/state/directory/update.go
@@ -5,28 +5,29 @@
 
 import "time"
 
-// Update is what a box that follows the platform's list tells the others: what
-// has changed between two of the platform's revisions, or the whole list.
+// Update is what a reader of the platform's list sends to the other boxes: the
+// changes between two positions of the platform, or the whole list.
 type Update struct {
-	// Origin is the box that read it from the platform, and Sequence tells its
-	// updates apart; a later one has a higher number.
+	// Origin is the box that read it from the platform, and Sequence its number
+	// among the updates of that box, which rises.
 	Origin   string
 	Sequence uint64
-	// After and At are the platform's revisions that the changes lie between.
-	// A whole list is as of At.
+	// After and At are the positions between which the changes lie. A whole list
+	// is as of At.
 	After, At uint64
-	Whole     bool
-	Changes   []Change
-	// Lost says that the platform has forgotten its history or was away: what
-	// waits for it elsewhere may wait in vain.
+	// Whole means that Changes is the whole list.
+	Whole   bool
+	Changes []Change
+	// Lost means that the platform has lost its history or was unavailable: changes
+	// that others still wait for may never come.
 	Lost bool
 }
 
-// Fits says whether the update can be taken in without a gap.
+// Fits reports whether the update can be applied without a gap.
 func (d Directory) Fits(n Update) bool { return n.Whole || n.After <= d.at }
 
-// WithUpdate returns the directory after an update. One that is older than the
-// directory, or that leaves a gap after it, changes nothing.
+// WithUpdate returns the directory after an update. An update that is older than
+// the directory or leaves a gap after it changes nothing.
 func (d Directory) WithUpdate(now time.Time, n Update) Directory {
 	if n.At < d.at || !d.Fits(n) {
 		return d
@@ -41,7 +42,7 @@
 	return d.WithList(now, n.At, list)
 }
 
-// All is the directory as an update: every endpoint that the platform lists.
+// All returns the directory as an update: every endpoint that the platform lists.
 func (d Directory) All() Update {
 	n := Update{At: d.at, Whole: true}
 	d.each(func(w *Status) {
--- a/state/directory/update_test.go
+++ b/state/directory/update_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// history is the platform's list as it was at each of its revisions.
+// history holds the platform's list at each of its revisions.
 type history struct {
 	lists   []map[string]Entry
 	changes []Change
@@ -24,13 +24,13 @@
 		next[id] = e
 	}
 	id := fmt.Sprintf("e%d", rapid.IntRange(0, 4).Draw(t, "endpoint"))
-	old, there := next[id]
+	old, exists := next[id]
 	c := Change{Entry: Entry{ID: id, Service: "s", Address: id}}
 	switch {
-	case there && rapid.Bool().Draw(t, "ends"):
+	case exists && rapid.Bool().Draw(t, "ends"):
 		c.Gone = true
 		delete(next, id)
-	case there:
+	case exists:
 		old.Draining = !old.Draining
 		c.Entry = old
 		next[id] = old
@@ -41,7 +41,7 @@
 	h.lists = append(h.lists, next)
 }
 
-// update draws an update as a box at any revision could have told it.
+// update draws an update that a box at any revision could have sent.
 func (h *history) update(t *rapid.T) Update {
 	at := rapid.IntRange(1, len(h.lists)-1).Draw(t, "at")
 	n := Update{At: uint64(at)}
@@ -86,7 +86,7 @@
 }
 
 func TestAllIsAnUpdate(t *testing.T) {
-	convey.Convey("What one box knows, another takes over whole, and what has gone stays out", t, func() {
+	convey.Convey("Another box takes over the whole directory without the endpoints that are gone", t, func() {
 		now := time.Unix(0, 0)
 		d := Directory{}.WithList(now, 4, []Entry{{ID: "a", Service: "s"}, {ID: "b", Service: "s", Draining: true}})
 		d = d.WithChanges(now, 6, []Change{{Entry: Entry{ID: "a"}, Gone: true}})
