--- a/state/table/cell.go
+++ b/state/table/cell.go
@@ -12,14 +12,15 @@
 	"runridge.example/runridge/modules/invalid"
 )
 
-// Kinds lists the objects whose cells can be set.
+// Kinds lists the kinds of objects whose cells can be set.
 func Kinds() []string {
 	return []string{"zone", "service", "pool", "endpoint", "row", "link", "account"}
 }
 
-// WithCell returns the table with one cell changed. Kind and key name the
-// object, cell its field as in JSON (a row's weight is "weights." and the
-// zone), and value is JSON or a plain text.
+// WithCell returns the table with one cell changed. kind and key identify the
+// object, cell is the field's JSON name (a row's weight is "weights." and the
+// zone), and value is JSON or plain text. It returns a FieldError if the kind, the
+// object or the field does not exist, or if the field does not accept the value.
 func (t Table) WithCell(kind, key, cell, value string) (Table, error) {
 	var err error
 	switch kind {
@@ -43,7 +44,8 @@
 	return t, err
 }
 
-func setCell[T keyed](items []T, kind, key, cell, value string) ([]T, error) {
+// setCell returns a copy of a list in which one cell of the item with a key is changed.
+func setCell[T listItem](items []T, kind, key, cell, value string) ([]T, error) {
 	i := slices.IndexFunc(items, func(item T) bool { return item.key() == key })
 	if i < 0 {
 		keys := namesOf(items, func(item T) string { return item.key() })
@@ -58,7 +60,7 @@
 	return items, nil
 }
 
-// withField changes one field by way of the object's JSON.
+// withField returns a copy of an object with one field changed through its JSON.
 func withField[T any](item T, name, cell, value string) (T, error) {
 	data, err := json.Marshal(map[string]json.RawMessage{})
 	if err != nil {
@@ -80,7 +82,7 @@
 	if err != nil {
 		return item, err
 	}
-	// The clone keeps the old object's map as it was.
+	// A copy through JSON does not share maps with the old object.
 	whole, err := json.Marshal(item)
 	if err != nil {
 		return item, err
--- a/state/table/check.go
+++ b/state/table/check.go
@@ -13,10 +13,10 @@
 	"runridge.example/runridge/modules/invalid"
 )
 
-// checker gathers problems while it walks the table.
+// checker collects the problems of a table.
 type checker struct {
-	table Table
-	found invalid.FieldErrors
+	table    Table
+	problems invalid.FieldErrors
 }
 
 // Check validates the whole table and returns all problems found.
@@ -31,15 +31,15 @@
 	c.checkAccounts()
 	c.checkRoutes()
 	c.checkCoverage()
-	return c.found
+	return c.problems
 }
 
 func (c *checker) add(row, cell string, value any, allowed string) {
-	c.found = c.found.With(row+": "+cell, value, allowed)
+	c.problems = c.problems.With(row+": "+cell, value, allowed)
 }
 
-// unique reports each name that is empty or stands twice.
-func (c *checker) unique(kind string, names []string) {
+// checkUnique adds a problem for each name that is empty or occurs twice.
+func (c *checker) checkUnique(kind string, names []string) {
 	seen := make(map[string]bool, len(names))
 	for _, n := range names {
 		if n == "" {
@@ -54,19 +54,19 @@
 }
 
 func (c *checker) checkZones() {
-	c.unique("zone", namesOf(c.table.Zones, func(z Zone) string { return z.Name }))
+	c.checkUnique("zone", namesOf(c.table.Zones, func(z Zone) string { return z.Name }))
 }
 
 func (c *checker) checkServices() {
-	c.unique("service", namesOf(c.table.Services, func(s Service) string { return s.Name }))
+	c.checkUnique("service", namesOf(c.table.Services, func(s Service) string { return s.Name }))
 	for _, s := range c.table.Services {
 		row := "service " + s.Name
 		switch s.Kind {
 		case KindModel:
-			c.positive(row, "first_token_ms", s.FirstTokenMS)
-			c.positive(row, "per_token_ms", s.PerTokenMS)
-			c.positive(row, "max_prompt_tokens", s.MaxPromptTokens)
-			c.positive(row, "max_output_tokens", s.MaxOutputTokens)
+			c.checkPositive(row, "first_token_ms", s.FirstTokenMS)
+			c.checkPositive(row, "per_token_ms", s.PerTokenMS)
+			c.checkPositive(row, "max_prompt_tokens", s.MaxPromptTokens)
+			c.checkPositive(row, "max_output_tokens", s.MaxOutputTokens)
 		case KindPlain:
 			if !strings.HasPrefix(s.Route, "/") || len(s.Route) < 2 || strings.HasPrefix(s.Route, "/v1") {
 				c.add(row, "route", s.Route, `a path that starts with "/", longer than "/", not under /v1`)
@@ -82,14 +82,15 @@
 	}
 }
 
-func (c *checker) positive(row, cell string, v int) {
+// checkPositive adds a problem if a value is not above 0.
+func (c *checker) checkPositive(row, cell string, v int) {
 	if v <= 0 {
 		c.add(row, cell, v, "a whole number above 0")
 	}
 }
 
 func (c *checker) checkPools() {
-	c.unique("pool", namesOf(c.table.Pools, func(p Pool) string { return p.Name }))
+	c.checkUnique("pool", namesOf(c.table.Pools, func(p Pool) string { return p.Name }))
 	for _, p := range c.table.Pools {
 		switch p.Role {
 		case RolePrefill, RoleDecode, RolePlain:
@@ -100,7 +101,7 @@
 }
 
 func (c *checker) checkEndpoints() {
-	c.unique("endpoint", namesOf(c.table.Endpoints, func(e Endpoint) string { return e.Name }))
+	c.checkUnique("endpoint", namesOf(c.table.Endpoints, func(e Endpoint) string { return e.Name }))
 	for _, e := range c.table.Endpoints {
 		row := "endpoint " + e.Name
 		p, ok := c.table.Pool(e.Pool)
@@ -111,14 +112,14 @@
 		if _, err := netip.ParseAddrPort(e.Address); err != nil {
 			c.add(row, "address", e.Address, "an IP number and port, such as 10.0.0.7:8080")
 		}
-		c.positive(row, "slots", e.Slots)
+		c.checkPositive(row, "slots", e.Slots)
 		if ok && p.Role != RolePlain {
-			c.positive(row, "kv_tokens", e.KVTokens)
-			c.positive(row, "prefill_tokens_per_second", e.PrefillTokensPerSecond)
-			c.positive(row, "kv_bytes_per_token", e.KVBytesPerToken)
+			c.checkPositive(row, "kv_tokens", e.KVTokens)
+			c.checkPositive(row, "prefill_tokens_per_second", e.PrefillTokensPerSecond)
+			c.checkPositive(row, "kv_bytes_per_token", e.KVBytesPerToken)
 		}
 		if ok && p.Role == RoleDecode {
-			c.positive(row, "step_base_us", e.StepBaseUS)
+			c.checkPositive(row, "step_base_us", e.StepBaseUS)
 		}
 	}
 }
@@ -192,8 +193,8 @@
 	if e == nil {
 		return
 	}
-	c.positive(row, "engine.slots", e.Slots)
-	c.positive(row, "engine.kv_tokens", e.KVTokens)
+	c.checkPositive(row, "engine.slots", e.Slots)
+	c.checkPositive(row, "engine.kv_tokens", e.KVTokens)
 }
 
 func (c *checker) checkRoutes() {
@@ -216,8 +217,8 @@
 		default:
 			c.add(row, "repeat", r.Repeat, "safe, unsafe, stream")
 		}
-		c.positive(row, "timeout_ms", r.TimeoutMS)
-		c.positive(row, "max_attempts", r.MaxAttempts)
+		c.checkPositive(row, "timeout_ms", r.TimeoutMS)
+		c.checkPositive(row, "max_attempts", r.MaxAttempts)
 		c.checkRouteTargets(row, r, services)
 	}
 }
@@ -238,7 +239,7 @@
 	}
 }
 
-// checkCoverage asks that each service has the pools that its kind needs.
+// checkCoverage checks that each service has the pools that its kind needs.
 func (c *checker) checkCoverage() {
 	for _, s := range c.table.Services {
 		if s.Kind == KindRouted {
@@ -253,17 +254,17 @@
 				roles[p.Role] = true
 			}
 		}
-		need := RoleDecode
+		required := RoleDecode
 		if s.Kind == KindPlain {
-			need = RolePlain
+			required = RolePlain
 		}
-		if !roles[need] {
-			c.add("service "+s.Name, "rows", "none", "at least one row with a "+need+" pool")
+		if !roles[required] {
+			c.add("service "+s.Name, "rows", "none", "at least one row with a "+required+" pool")
 		}
 	}
 }
 
-// nearest lists what is allowed and, where one is close, the name meant.
+// nearest lists the allowed names and, if one is similar to the given name, which it is.
 func (c *checker) nearest(name string, allowed []string) string {
 	text := strings.Join(allowed, ", ")
 	if text == "" {
--- a/state/table/delta.go
+++ b/state/table/delta.go
@@ -8,14 +8,14 @@
 	"slices"
 )
 
-// Delta is what changed between two generations. A change of one cell in a
-// table of 700 endpoints is a few hundred bytes, where the table is hundreds
-// of kilobytes.
+// Delta is the difference between two generations of the table. The change of one
+// cell in a table of 700 endpoints takes a few hundred bytes, while the whole table
+// takes hundreds of kilobytes.
 type Delta struct {
-	// Base and Generation are the tables before and after.
+	// Base and Generation are the generations before and after the change.
 	Base       uint64 `json:"base"`
 	Generation uint64 `json:"generation"`
-	// BaseVersion and Version are their numbers by the operator.
+	// BaseVersion and Version are the operator's version numbers before and after it.
 	BaseVersion uint64 `json:"base_version,omitempty"`
 	Version     uint64 `json:"version,omitempty"`
 
@@ -27,25 +27,26 @@
 	Links     Part[Link]     `json:"links,omitzero"`
 	Accounts  Part[Account]  `json:"accounts,omitzero"`
 	Routes    Part[Route]    `json:"routes,omitzero"`
-	// Limits are those after the change.
+	// Limits are the limits after the change.
 	Limits Limits `json:"limits,omitzero"`
-	Whole  *Table `json:"whole,omitempty"`
+	// Whole, if not nil, is the whole table after the change; the lists are then empty.
+	Whole *Table `json:"whole,omitempty"`
 }
 
-// Part is the change of one list.
+// Part is the change of one of the table's lists.
 type Part[T any] struct {
-	// Set are the items that were added or changed.
+	// Set holds the added and changed items.
 	Set []T `json:"set,omitempty"`
-	// Removed are the keys of those taken out.
+	// Removed holds the keys of the removed items.
 	Removed []string `json:"removed,omitempty"`
 }
 
-// IsZero says whether nothing changed.
+// IsZero reports whether nothing changed.
 func (p Part[T]) IsZero() bool {
 	return len(p.Set) == 0 && len(p.Removed) == 0
 }
 
-// Keys of the lists' items.
+// key returns the item's key, which is unique within its list.
 func (z Zone) key() string     { return z.Name }
 func (s Service) key() string  { return s.Name }
 func (p Pool) key() string     { return p.Name }
@@ -54,10 +55,10 @@
 func (l Link) key() string     { return l.From + "-" + l.To }
 func (a Account) key() string  { return a.Name }
 
-// keyed is an item of one of the table's lists.
-type keyed interface{ key() string }
+// listItem is an item of one of the table's lists.
+type listItem interface{ key() string }
 
-// Diff is the change from one table to another.
+// Diff returns the change from one table to another.
 func Diff(from, to Table) Delta {
 	return Delta{
 		Base:       from.Generation,
@@ -66,27 +67,28 @@
 		BaseVersion: from.Version,
 		Version:     to.Version,
 
-		Zones:     diff(from.Zones, to.Zones),
-		Services:  diff(from.Services, to.Services),
-		Pools:     diff(from.Pools, to.Pools),
-		Endpoints: diff(from.Endpoints, to.Endpoints),
-		Rows:      diff(from.Rows, to.Rows),
-		Links:     diff(from.Links, to.Links),
-		Accounts:  diff(from.Accounts, to.Accounts),
-		Routes:    diff(from.Routes, to.Routes),
+		Zones:     diffLists(from.Zones, to.Zones),
+		Services:  diffLists(from.Services, to.Services),
+		Pools:     diffLists(from.Pools, to.Pools),
+		Endpoints: diffLists(from.Endpoints, to.Endpoints),
+		Rows:      diffLists(from.Rows, to.Rows),
+		Links:     diffLists(from.Links, to.Links),
+		Accounts:  diffLists(from.Accounts, to.Accounts),
+		Routes:    diffLists(from.Routes, to.Routes),
 		Limits:    to.Limits,
 	}
 }
 
-// WholeDelta carries a whole table, for a box that has none of its bases.
+// WholeDelta returns a delta that carries a whole table, for a box that has no table
+// to which a change could be applied.
 func WholeDelta(t Table) Delta {
 	return Delta{Generation: t.Generation, Version: t.Version, Whole: &t}
 }
 
-// Stamp is that of the table after the change.
+// Stamp returns the stamp of the table after the change.
 func (d Delta) Stamp() Stamp { return Stamp{Version: d.Version, Generation: d.Generation} }
 
-func diff[T keyed](from, to []T) Part[T] {
+func diffLists[T listItem](from, to []T) Part[T] {
 	var p Part[T]
 	before := make(map[string]T, len(from))
 	for _, item := range from {
@@ -107,8 +109,8 @@
 	return p
 }
 
-// WithDelta returns the table after a change, or false if the change does not
-// start from this generation.
+// WithDelta returns the table after a change, or false if the change is not based
+// on this generation and version.
 func (t Table) WithDelta(d Delta) (Table, bool) {
 	if d.Whole != nil {
 		return d.Whole.WithGeneration(d.Generation), true
@@ -119,20 +121,21 @@
 	return Table{
 		Generation: d.Generation,
 		Version:    d.Version,
-		Zones:      patch(t.Zones, d.Zones),
-		Services:   patch(t.Services, d.Services),
-		Pools:      patch(t.Pools, d.Pools),
-		Endpoints:  patch(t.Endpoints, d.Endpoints),
-		Rows:       patch(t.Rows, d.Rows),
-		Links:      patch(t.Links, d.Links),
-		Accounts:   patch(t.Accounts, d.Accounts),
-		Routes:     patch(t.Routes, d.Routes),
+		Zones:      patchList(t.Zones, d.Zones),
+		Services:   patchList(t.Services, d.Services),
+		Pools:      patchList(t.Pools, d.Pools),
+		Endpoints:  patchList(t.Endpoints, d.Endpoints),
+		Rows:       patchList(t.Rows, d.Rows),
+		Links:      patchList(t.Links, d.Links),
+		Accounts:   patchList(t.Accounts, d.Accounts),
+		Routes:     patchList(t.Routes, d.Routes),
 		Limits:     d.Limits,
 	}, true
 }
 
-// patch keeps the order of what stays and adds what is new at the end.
-func patch[T keyed](items []T, p Part[T]) []T {
+// patchList returns a list after a change. Items that stay keep their order, and new
+// ones are appended.
+func patchList[T listItem](items []T, p Part[T]) []T {
 	if p.IsZero() {
 		return items
 	}
@@ -153,20 +156,20 @@
 	return out
 }
 
-// Names lists the objects that a change touches, such as "endpoint bog-p1".
+// Names lists the objects that a change affects, such as "endpoint bog-p1".
 func (d Delta) Names() []string {
 	var out []string
-	out = append(out, names("zone", d.Zones)...)
-	out = append(out, names("service", d.Services)...)
-	out = append(out, names("pool", d.Pools)...)
-	out = append(out, names("endpoint", d.Endpoints)...)
-	out = append(out, names("row", d.Rows)...)
-	out = append(out, names("link", d.Links)...)
-	out = append(out, names("route", d.Routes)...)
-	return append(out, names("account", d.Accounts)...)
+	out = append(out, changedNames("zone", d.Zones)...)
+	out = append(out, changedNames("service", d.Services)...)
+	out = append(out, changedNames("pool", d.Pools)...)
+	out = append(out, changedNames("endpoint", d.Endpoints)...)
+	out = append(out, changedNames("row", d.Rows)...)
+	out = append(out, changedNames("link", d.Links)...)
+	out = append(out, changedNames("route", d.Routes)...)
+	return append(out, changedNames("account", d.Accounts)...)
 }
 
-func names[T keyed](kind string, p Part[T]) []string {
+func changedNames[T listItem](kind string, p Part[T]) []string {
 	var out []string
 	for _, item := range p.Set {
 		out = append(out, kind+" "+item.key())
--- a/state/table/group.go
+++ b/state/table/group.go
@@ -15,85 +15,85 @@
 )
 
 const (
-	// MaxGroup is the most endpoints of a service in a region that are one group
-	// whatever their zones. A group is scheduled as a whole by one box, so it is the
-	// largest piece whose limits are counted exactly.
+	// MaxGroup is the maximum number of endpoints of a service in a region that form
+	// one group regardless of their zones. One box schedules a group as a whole, so a
+	// group is the largest unit whose limits are counted exactly.
 	MaxGroup = 16
-	// MaxZoneGroup bounds the endpoints of a group that is a zone's, or a part
-	// of one. Larger groups place better and cost their home more: messages with
-	// the requests of the group, and time with its engines.
+	// MaxZoneGroup is the maximum number of endpoints of a group within a zone. Larger
+	// groups allow better placement but cost their home more: messages for each request
+	// of the group, and time for each of its engines.
 	MaxZoneGroup = 64
-	// leastZoneGroup is the bound for the largest services: a home of seven
-	// engines of 700 stays within its bytes a second (docs/CAPACITY.md).
-	leastZoneGroup = 8
-	// largestWhole is up to how many endpoints of a service its groups may have
-	// MaxZoneGroup. Beyond it the bound falls as the service grows, since there
-	// are more boxes then to share it out among.
-	largestWhole = 100
+	// minZoneGroup is the limit for the largest services: a home with seven of 700
+	// engines stays within its budget of bytes per second (docs/CAPACITY.md).
+	minZoneGroup = 8
+	// maxUnscaled is the number of endpoints of a service up to which its groups may have
+	// MaxZoneGroup endpoints. Above it the limit falls as the service grows, since there
+	// are more boxes then to distribute the groups to.
+	maxUnscaled = 100
 )
 
-// zoneGroupBound is the most endpoints of a zone's group, for a service of so
-// many endpoints.
-func zoneGroupBound(endpoints int) int {
-	bound := MaxZoneGroup * largestWhole / max(endpoints, 1)
-	return min(max(bound, leastZoneGroup), MaxZoneGroup)
+// zoneGroupLimit returns the maximum number of endpoints of a group within a zone,
+// for a service with the given number of endpoints.
+func zoneGroupLimit(endpoints int) int {
+	limit := MaxZoneGroup * maxUnscaled / max(endpoints, 1)
+	return min(max(limit, minZoneGroup), MaxZoneGroup)
 }
 
-// Group is the engines of one service that one home schedules together.
+// Group is the endpoints of one service that one home schedules together.
 type Group struct {
-	// Key names the group: the service, and the zone and part where there is
-	// more than one.
+	// Key identifies the group: the service, and the region, or the zone and part, if
+	// the service has several groups.
 	Key     string
 	Service string
 	Members []Member
 }
 
-// Has says whether an endpoint is in the group.
+// Has reports whether an endpoint is in the group.
 func (g *Group) Has(endpoint string) bool {
 	return slices.ContainsFunc(g.Members, func(m Member) bool { return m.Endpoint.Name == endpoint })
 }
 
-// Member is an endpoint in a group with what the rows say of it.
+// Member is an endpoint in a group with the settings of its rows.
 type Member struct {
 	Endpoint Endpoint
 	Prefill  bool
 	Decode   bool
-	// Model says that the endpoint is an engine, not a plain service.
+	// Model means that the endpoint is an engine, not an endpoint of a plain service.
 	Model bool
-	// Holds bounds the requests on it.
+	// Holds is the maximum number of requests on it.
 	Holds int
 	// Weight is its zone's weight in the row.
 	Weight int
-	// ColdUntil is until when the endpoint is cold; zero is not.
+	// ColdUntil is the time until which the endpoint is cold; zero means not cold.
 	ColdUntil time.Time
 }
 
-// Groups cuts every service's endpoints into groups, for a fleet in one region.
+// Groups divides every service's endpoints into groups, for a fleet in one region.
 func (t Table) Groups() []Group { return t.GroupsByRegion(locality.Map{}) }
 
-// GroupsByRegion cuts every service's endpoints into groups, by region before
-// anything else. The endpoints of a service in a region are one group up to
-// MaxGroup; more are cut by zone, and a zone that is still too large into parts.
-// The result depends on the table and the regions alone, so all boxes agree on it.
+// GroupsByRegion divides every service's endpoints into groups, first by region. Up
+// to MaxGroup endpoints of a service in a region form one group; more are divided by
+// zone, and a zone that is still too large into parts. The result depends only on the
+// table and the regions, so all boxes agree on it.
 func (t Table) GroupsByRegion(regions locality.Map) []Group {
 	var out []Group
 	for _, s := range t.Services {
-		members := t.members(s.Name)
+		members := t.serviceMembers(s.Name)
 		if !regions.Several() {
 			out = append(out, t.regionGroups(s.Name, s.Name, members, len(members))...)
 			continue
 		}
 		for _, region := range regions.RegionsOf(zonesOf(members)) {
-			here := slices.DeleteFunc(slices.Clone(members), func(m Member) bool {
+			inRegion := slices.DeleteFunc(slices.Clone(members), func(m Member) bool {
 				return regions.Region(m.Endpoint.Zone) != region
 			})
-			out = append(out, t.regionGroups(s.Name, RegionGroupKey(s.Name, region), here, len(members))...)
+			out = append(out, t.regionGroups(s.Name, RegionGroupKey(s.Name, region), inRegion, len(members))...)
 		}
 	}
 	return out
 }
 
-// zonesOf are the zones of some members.
+// zonesOf lists the members' zones, with duplicates.
 func zonesOf(members []Member) []string {
 	zones := make([]string, 0, len(members))
 	for _, m := range members {
@@ -102,8 +102,9 @@
 	return zones
 }
 
-// regionGroups cuts the members of one region, of a service with so many in all.
-// Key is for the group that they are if they are few.
+// regionGroups divides the members of one region into groups. key is the key of the
+// single group that few members form, and all the number of the service's members in
+// all regions.
 func (t Table) regionGroups(service, key string, members []Member, all int) []Group {
 	if len(members) <= MaxGroup {
 		return []Group{{Key: key, Service: service, Members: members}}
@@ -120,72 +121,72 @@
 	return slices.DeleteFunc(t.Groups(), func(g Group) bool { return g.Service != service })
 }
 
-// zoneGroups cuts one zone's members into parts, those of a service with so many
-// in all. Each member's part follows
-// from its own name, so that one that comes or goes moves no other: a home knows
-// only what it granted itself. The number of parts is a power of two; where it
-// changes, half of the members move.
+// zoneGroups divides one zone's members into groups. all is the number of the
+// service's members in all zones. A member's part depends only on its own name, so a
+// member that is added or removed moves no other one: this matters because a home
+// knows only the grants that it gave itself. The number of parts is a power of two;
+// when it changes, half of the members move.
 func zoneGroups(service, zone string, members []Member, all int) []Group {
-	var here []Member
+	var inZone []Member
 	for _, m := range members {
 		if m.Endpoint.Zone == zone {
-			here = append(here, m)
+			inZone = append(inZone, m)
 		}
 	}
-	if len(here) == 0 {
+	if len(inZone) == 0 {
 		return nil
 	}
-	parts := ZoneParts(len(here), all)
+	parts := ZoneParts(len(inZone), all)
 	out := make([]Group, parts)
 	for i := range out {
 		out[i] = Group{Key: ZoneGroupKey(service, zone, uint64(i), parts), Service: service}
 	}
-	for _, m := range here {
+	for _, m := range inZone {
 		part := &out[PartOf(m.Endpoint.Name, parts)]
 		part.Members = append(part.Members, m)
 	}
 	return out
 }
 
-// ZoneParts is into how many groups a zone's endpoints are cut, where the service
-// has so many in all.
+// ZoneParts returns the number of groups into which a zone's endpoints are divided.
+// here is the number of endpoints in the zone, and all that of the whole service.
 func ZoneParts(here, all int) uint64 {
 	parts := uint64(1)
-	for here > zoneGroupBound(all)*int(parts) {
+	for here > zoneGroupLimit(all)*int(parts) {
 		parts *= 2
 	}
 	return parts
 }
 
-// RegionGroupKey names the group of a region's endpoints. A zone may have its
-// region's name, so the two kinds of keys differ in form.
+// RegionGroupKey returns the key of the group of a region's endpoints. Its form differs
+// from that of ZoneGroupKey, since a zone may have the same name as a region.
 func RegionGroupKey(service, region string) string { return service + "@" + region }
 
-// ZoneGroupKey names a part of a zone.
+// ZoneGroupKey returns the key of the group of one part of a zone.
 func ZoneGroupKey(service, zone string, part, parts uint64) string {
 	key := service + "/" + zone
 	if parts > 1 {
-		key += partMark + strconv.FormatUint(part, 10)
+		key += partSeparator + strconv.FormatUint(part, 10)
 	}
 	return key
 }
 
-// partMark stands before the number of a zone's part in its group's key.
-const partMark = "#"
+// partSeparator precedes the number of a zone's part in its group's key.
+const partSeparator = "#"
 
-// WholeZoneKey is the key that the group of a zone's part would have if the zone were
-// one group. Other keys are their own.
+// WholeZoneKey returns the key that the group of a zone's part would have if the zone
+// were one group. It returns other keys unchanged.
 func WholeZoneKey(key string) string {
-	if i := strings.LastIndex(key, partMark); i >= 0 {
+	if i := strings.LastIndex(key, partSeparator); i >= 0 {
 		return key[:i]
 	}
 	return key
 }
 
-// PartOf is the part of its zone that an endpoint belongs to.
+// PartOf returns the part of its zone that an endpoint belongs to.
 func PartOf(endpoint string, parts uint64) uint64 { return xxhash.Sum64String(endpoint) % parts }
 
-// ServicesOf counts the services that an endpoint of the table serves; 0 is none.
+// ServicesOf returns the number of services that an endpoint of the table serves.
 func (t Table) ServicesOf(e Endpoint) int {
 	services := make(map[string]bool)
 	for _, r := range t.Rows {
@@ -196,8 +197,8 @@
 	return len(services)
 }
 
-// members lists a service's endpoints, pool by pool, each once.
-func (t Table) members(service string) []Member {
+// serviceMembers lists a service's endpoints by pool, each endpoint once.
+func (t Table) serviceMembers(service string) []Member {
 	var out []Member
 	at := make(map[string]int)
 	for _, r := range t.Rows {
--- a/state/table/route.go
+++ b/state/table/route.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// What may be repeated of a route's requests.
+// Whether a route's requests may be repeated.
 const (
 	// RepeatSafe requests may run more than once.
 	RepeatSafe = "safe"
@@ -16,7 +16,7 @@
 	RepeatStream = "stream"
 )
 
-// Route says which service gets the requests of a host under a path prefix.
+// Route assigns the requests for a host and a path prefix to services.
 type Route struct {
 	Name   string `json:"name"`
 	Host   string `json:"host"`
@@ -25,25 +25,26 @@
 	Targets []RouteTarget `json:"targets"`
 	// Repeat is one of the Repeat constants.
 	Repeat string `json:"repeat"`
-	// TimeoutMS bounds the whole answer, in milliseconds.
+	// TimeoutMS is the time limit for the whole answer, in milliseconds.
 	TimeoutMS int `json:"timeout_ms"`
-	// TargetMS is the target for the answer, of a stream for its first event.
+	// TargetMS is the target for the answer, or for a stream's first event, in
+	// milliseconds.
 	TargetMS int `json:"target_ms,omitempty"`
-	// GapMS is the target between two events of a stream.
+	// GapMS is the target between two events of a stream, in milliseconds.
 	GapMS int `json:"gap_ms,omitempty"`
 	// GiveUpMS is how long callers wait for a stream's first event before they
-	// give it up, in milliseconds; 0 is not known.
+	// cancel, in milliseconds; 0 means not known.
 	GiveUpMS int `json:"give_up_ms,omitempty"`
-	// MaxAttempts is the most endpoints that may run one request.
+	// MaxAttempts is the maximum number of endpoints that may run one request.
 	MaxAttempts int `json:"max_attempts"`
-	// Priority 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int `json:"priority,omitempty"`
-	// Resumable streams may be taken up at another endpoint after an event.
+	// Resumable streams may continue on another endpoint after an event.
 	Resumable bool `json:"resumable,omitempty"`
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public bool `json:"public,omitempty"`
-	// AllowedRegions are the only regions in which the route's requests may be
-	// served and kept; empty is all.
+	// AllowedRegions lists the only regions in which the route's requests may be
+	// served and stored; empty means all.
 	AllowedRegions []string `json:"allowed_regions,omitempty"`
 }
 
@@ -53,24 +54,25 @@
 	Weight  int    `json:"weight"`
 }
 
-// EngineLimits is what the operator says of a routed service's engines.
+// EngineLimits describes the engines of a routed service.
 type EngineLimits struct {
-	// Slots is how many requests one engine runs at once.
+	// Slots is the number of requests that one engine runs at once.
 	Slots int `json:"slots"`
 	// KVTokens is an engine's memory for KV cache, in tokens.
 	KVTokens int `json:"kv_tokens"`
-	// KVBytesPerToken is the size of one token's KV cache when moved.
+	// KVBytesPerToken is the size of one token's KV cache in a transfer.
 	KVBytesPerToken int `json:"kv_bytes_per_token"`
-	// TokensPerEvent is how many tokens one event of a stream stands for; 0 is 1.
+	// TokensPerEvent is the number of tokens in one event of a stream; 0 means 1.
 	TokensPerEvent int `json:"tokens_per_event,omitempty"`
-	// KeptMS is how long an engine keeps a prefill result that nobody takes.
+	// KeptMS is how long an engine keeps a prefill result that is not fetched, in
+	// milliseconds.
 	KeptMS int `json:"kept_ms,omitempty"`
-	// SwitchMS is how long an engine is away when it changes its stage, in
-	// milliseconds; 0 means that engines cannot be ordered to.
+	// SwitchMS is how long an engine is unavailable when it changes its stage, in
+	// milliseconds; 0 means that engines cannot be ordered to change it.
 	SwitchMS int `json:"switch_ms,omitempty"`
 }
 
-// Limits bound what callers of the routes may send. 0 is the default.
+// Limits bounds the requests of the routes' callers. 0 means the default.
 type Limits struct {
 	MaxHeaderBytes  int `json:"max_header_bytes,omitempty"`
 	MaxBodyBytes    int `json:"max_body_bytes,omitempty"`
@@ -78,28 +80,28 @@
 	IdleTimeoutMS   int `json:"idle_timeout_ms,omitempty"`
 }
 
-// key is unique: one prefix of a host has one route.
+// key returns the route's key: a prefix of a host has one route.
 func (r Route) key() string { return r.Host + r.Prefix }
 
-// Timeout is the bound of the whole answer.
+// Timeout returns the time limit for the whole answer.
 func (r Route) Timeout() time.Duration {
 	return time.Duration(r.TimeoutMS) * time.Millisecond
 }
 
-// Target is the target for the answer or its first event.
+// Target returns the target for the answer or a stream's first event.
 func (r Route) Target() time.Duration {
 	return time.Duration(r.TargetMS) * time.Millisecond
 }
 
-// GiveUp is how long callers wait for the first event; 0 is not known.
+// GiveUp returns how long callers wait for a stream's first event; 0 means not known.
 func (r Route) GiveUp() time.Duration {
 	return time.Duration(r.GiveUpMS) * time.Millisecond
 }
 
-// Idempotent says whether the route's requests may run more than once.
+// Idempotent reports whether the route's requests may run more than once.
 func (r Route) Idempotent() bool {
 	return r.Repeat == RepeatSafe || r.Repeat == RepeatStream && r.Resumable
 }
 
-// Stream says whether the route's answers are streams of events.
+// Stream reports whether the route's answers are streams of events.
 func (r Route) Stream() bool { return r.Repeat == RepeatStream }
--- a/state/table/stamp.go
+++ b/state/table/stamp.go
@@ -3,16 +3,17 @@
 
 package table
 
-// Stamp tells which of two tables is the newer one.
+// Stamp identifies a state of the table and orders two of them by age.
 type Stamp struct {
 	Version, Generation uint64
 }
 
-// Stamp is that of the table.
+// Stamp returns the table's stamp.
 func (t Table) Stamp() Stamp { return Stamp{Version: t.Version, Generation: t.Generation} }
 
-// After says whether a table is newer than another one: by the operator's own numbers, where
-// both have one, since generations may be given out twice.
+// After reports whether the table with this stamp is newer than another one. If both have an
+// operator's version, the versions decide, since a store that was restored from an older copy
+// may assign generations twice.
 func (s Stamp) After(o Stamp) bool {
 	if s.Version > 0 && o.Version > 0 && s.Version != o.Version {
 		return s.Version > o.Version
@@ -20,7 +21,7 @@
 	return s.Generation > o.Generation
 }
 
-// Latest is the newer one of two stamps.
+// Latest returns the newer of two stamps.
 func (s Stamp) Latest(o Stamp) Stamp {
 	if o.After(s) {
 		return o
--- a/state/table/table.go
+++ b/state/table/table.go
@@ -1,23 +1,23 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package table holds the operators' table: services, pools, endpoints and
-// the rows that say which pool serves which service, with weights and limits.
-// A Table is an immutable value; changes go through the With methods.
+// Package table defines the operators' table: services, pools, endpoints and the
+// rows that assign pools to services, with weights and limits. A Table is an
+// immutable value; the With methods return changed copies.
 package table
 
 import "slices"
 
-// Kind of a service.
+// The kinds of services.
 const (
 	KindModel = "model"
 	KindPlain = "plain"
-	// KindRouted services are reached through the table's routes; their
-	// endpoints announce themselves and stand in the directory, not in the table.
+	// KindRouted services are reached through the table's routes. Their endpoints
+	// register themselves and are listed in the directory, not in the table.
 	KindRouted = "routed"
 )
 
-// Role of a pool.
+// The roles of pools.
 const (
 	RolePrefill = "prefill"
 	RoleDecode  = "decode"
@@ -26,10 +26,10 @@
 
 // Table is one accepted configuration.
 type Table struct {
-	// Generation grows with each accepted change, unless the platform's store comes back from
-	// an older copy.
+	// Generation rises with each accepted change. It falls only if the platform's store is
+	// restored from an older copy.
 	Generation uint64 `json:"generation"`
-	// Version is the operator's own number of the table, which never falls; 0 is none.
+	// Version is the operator's own version number of the table, which never falls; 0 is none.
 	Version   uint64     `json:"version,omitempty"`
 	Zones     []Zone     `json:"zones"`
 	Services  []Service  `json:"services"`
@@ -51,32 +51,32 @@
 // Service is what callers address: a model or a route prefix.
 type Service struct {
 	Name string `json:"name"`
-	// Kind is KindModel or KindPlain.
+	// Kind is one of the Kind constants.
 	Kind string `json:"kind"`
 	// Route is the path prefix of a plain service, such as "/portal".
 	Route string `json:"route,omitempty"`
 	// FirstTokenMS is the target for the first token, in milliseconds.
 	FirstTokenMS int `json:"first_token_ms,omitempty"`
-	// FirstTokenMSPer1K is added to the target for each 1,000 prompt tokens.
+	// FirstTokenMSPer1K is added to FirstTokenMS for each 1,000 prompt tokens.
 	FirstTokenMSPer1K int `json:"first_token_ms_per_1k,omitempty"`
 	// PerTokenMS is the target between two tokens, in milliseconds.
 	PerTokenMS int `json:"per_token_ms,omitempty"`
-	// WasteWeight says how much wasted prefill counts against goodput, 0 to 1.
+	// WasteWeight is the weight of wasted prefill against goodput, 0 to 1.
 	WasteWeight float64 `json:"waste_weight,omitempty"`
-	// MaxPromptTokens bounds a prompt.
+	// MaxPromptTokens is the maximum length of a prompt.
 	MaxPromptTokens int `json:"max_prompt_tokens,omitempty"`
-	// MaxOutputTokens bounds an answer.
+	// MaxOutputTokens is the maximum length of an answer.
 	MaxOutputTokens int `json:"max_output_tokens,omitempty"`
-	// MaxConnections bounds the connections to one endpoint of a routed
-	// service from all boxes together; 0 is no known bound.
+	// MaxConnections is the maximum number of connections to one endpoint of a routed
+	// service from all boxes together; 0 means no known limit.
 	MaxConnections int `json:"max_connections,omitempty"`
-	// ColdMS is how long an endpoint of a routed service is slow after a start, in
-	// milliseconds, and ColdPace how many requests a second it bears meanwhile;
-	// 0 is no known bound.
+	// ColdMS is how long an endpoint of a routed service is cold after a start, in
+	// milliseconds, and ColdPace the number of requests per second that it can take
+	// meanwhile; 0 means no known limit.
 	ColdMS   int     `json:"cold_ms,omitempty"`
 	ColdPace float64 `json:"cold_pace,omitempty"`
-	// Engine describes the engines of a routed model service; nil is a routed
-	// plain service.
+	// Engine describes the engines of a routed model service; nil means that the routed
+	// service is a plain one.
 	Engine *EngineLimits `json:"engine,omitempty"`
 }
 
@@ -86,49 +86,50 @@
 	Role string `json:"role"`
 }
 
-// Endpoint is a back end; one of a prefill or decode pool is an engine. The
-// rates are starting values: what the boxes learn from answers replaces them.
+// Endpoint is a back end; an endpoint of a prefill or decode pool is an engine. Its
+// rates are initial estimates, which the boxes replace by what they measure.
 type Endpoint struct {
 	Name    string `json:"name"`
 	Pool    string `json:"pool"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
-	// Slots is how many requests the engine may hold at once.
+	// Slots is the number of requests that the endpoint may hold at once.
 	Slots int `json:"slots"`
 	// KVTokens is the engine's memory for KV cache, in tokens.
 	KVTokens int `json:"kv_tokens,omitempty"`
-	// PrefillTokensPerSecond is the rate of prefill at the start.
+	// PrefillTokensPerSecond is the initial estimate of the prefill rate.
 	PrefillTokensPerSecond int `json:"prefill_tokens_per_second,omitempty"`
-	// StepBaseUS and StepPerRequestUS give the time of one decode step, in
-	// microseconds: base + per request in the batch.
+	// StepBaseUS and StepPerRequestUS are the initial estimates of the time of one
+	// decode step, in microseconds: StepBaseUS plus StepPerRequestUS for each request
+	// in the batch.
 	StepBaseUS       int `json:"step_base_us,omitempty"`
 	StepPerRequestUS int `json:"step_per_request_us,omitempty"`
-	// KVBytesPerToken is the size of one token's KV cache when moved.
+	// KVBytesPerToken is the size of one token's KV cache in a transfer.
 	KVBytesPerToken int `json:"kv_bytes_per_token,omitempty"`
 	// Leaving endpoints get no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// ChecksFence says whether the endpoint refuses orders with an old fence.
+	// ChecksFence means that the endpoint refuses orders with an outdated fencing token.
 	ChecksFence bool `json:"checks_fence,omitempty"`
 }
 
-// Row says that a pool serves a service, and with what weight in each zone.
+// Row assigns a pool to a service, with a weight for each zone.
 type Row struct {
 	Service string `json:"service"`
 	Pool    string `json:"pool"`
-	// Weights gives each availability zone's share; a zone not named has 0.
+	// Weights maps availability zones to their shares; a zone that is missing has 0.
 	Weights map[string]int `json:"weights"`
-	// HoldsPerEngine bounds the requests on each engine; 0 means its slots.
+	// HoldsPerEngine is the maximum number of requests on each engine; 0 means its slots.
 	HoldsPerEngine int `json:"holds_per_engine,omitempty"`
 }
 
-// Link is the rate between two zones, or inside one when both are the same.
+// Link is the transfer rate between two zones, or within one zone if both are the same.
 type Link struct {
 	From           string `json:"from"`
 	To             string `json:"to"`
 	BytesPerSecond int64  `json:"bytes_per_second"`
 }
 
-// Service finds a service by name.
+// Service returns the service of a name, and false if there is none.
 func (t Table) Service(name string) (Service, bool) {
 	i := slices.IndexFunc(t.Services, func(s Service) bool { return s.Name == name })
 	if i < 0 {
@@ -137,7 +138,7 @@
 	return t.Services[i], true
 }
 
-// Pool finds a pool by name.
+// Pool returns the pool of a name, and false if there is none.
 func (t Table) Pool(name string) (Pool, bool) {
 	i := slices.IndexFunc(t.Pools, func(p Pool) bool { return p.Name == name })
 	if i < 0 {
@@ -146,7 +147,7 @@
 	return t.Pools[i], true
 }
 
-// Endpoint finds an endpoint by name.
+// Endpoint returns the endpoint of a name, and false if there is none.
 func (t Table) Endpoint(name string) (Endpoint, bool) {
 	i := slices.IndexFunc(t.Endpoints, func(e Endpoint) bool { return e.Name == name })
 	if i < 0 {
@@ -155,8 +156,8 @@
 	return t.Endpoints[i], true
 }
 
-// LinkRate is the rate from one zone to another in bytes per second; 0 means
-// that the table names no limit.
+// LinkRate returns the rate between two zones, in either direction, in bytes per
+// second; 0 means that the table has no limit for it.
 func (t Table) LinkRate(from, to string) int64 {
 	for _, l := range t.Links {
 		if l.From == from && l.To == to || l.From == to && l.To == from {
@@ -166,7 +167,7 @@
 	return 0
 }
 
-// WithGeneration returns the table under another generation.
+// WithGeneration returns the table with another generation.
 func (t Table) WithGeneration(generation uint64) Table {
 	t.Generation = generation
 	return t
@@ -185,7 +186,7 @@
 	return t
 }
 
-// WithLeaving returns the table with the endpoint's mark changed. A name that
+// WithLeaving returns the table with the endpoint's Leaving field changed. A name that
 // is not in the table changes nothing.
 func (t Table) WithLeaving(endpoint string, leaving bool) Table {
 	e, ok := t.Endpoint(endpoint)
--- a/state/table/table_test.go
+++ b/state/table/table_test.go
@@ -23,7 +23,7 @@
 	os.Exit(seed.Run(m, 500))
 }
 
-// bogota is the example with something changed.
+// bogota returns the Bogota example table after an optional change.
 func bogota(change func(*table.Table)) table.Table {
 	t, _ := example.Table(example.Bogota)
 	if change != nil {
@@ -35,21 +35,21 @@
 func TestCheck(t *testing.T) {
 	cases := map[string]struct {
 		change func(*table.Table)
-		// want is part of the one problem expected; empty expects none.
+		// want is part of the expected problem; empty expects no problem.
 		want string
 	}{
 		"example is good":         {},
 		"address not an IP":       {func(t *table.Table) { t.Endpoints[0].Address = "engine-1:80" }, `address is "engine-1:80", allowed: an IP number and port`},
 		"unknown zone, near one":  {func(t *table.Table) { t.Endpoints[0].Zone = "bog-aa" }, "nearest: bog-a"},
 		"pool not defined":        {func(t *table.Table) { t.Endpoints[0].Pool = "lm-porta-prefil" }, "nearest: lm-porta-prefill"},
-		"weights add up to none":  {func(t *table.Table) { t.Rows[0].Weights = map[string]int{"bog-a": 0} }, "add up to more than 0"},
+		"weights add up to 0":     {func(t *table.Table) { t.Rows[0].Weights = map[string]int{"bog-a": 0} }, "add up to more than 0"},
 		"no decode pool":          {func(t *table.Table) { t.Rows = slices.Delete(t.Rows, 1, 2) }, "at least one row with a decode pool"},
-		"holds no engine has":     {func(t *table.Table) { t.Rows[0].HoldsPerEngine = 1000 }, "at most 40, the slots of endpoint"},
+		"more holds than slots":   {func(t *table.Table) { t.Rows[0].HoldsPerEngine = 1000 }, "at most 40, the slots of endpoint"},
 		"waste weight too large":  {func(t *table.Table) { t.Services[0].WasteWeight = 1.5 }, "0 to 1"},
 		"same endpoint twice":     {func(t *table.Table) { t.Endpoints[1].Name = t.Endpoints[0].Name }, "stands once"},
 		"route under the api":     {func(t *table.Table) { t.Services[1].Route = "/v1/x" }, "not under /v1"},
 		"account without a share": {func(t *table.Table) { t.Accounts[0].Weight = 0 }, "above 0"},
-		"link that carries none":  {func(t *table.Table) { t.Links[0].BytesPerSecond = 0 }, "above 0"},
+		"link without a rate":     {func(t *table.Table) { t.Links[0].BytesPerSecond = 0 }, "above 0"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// drawTable makes a small table out of few names, so that changes meet.
+// drawTable draws a small table with few names, so that two tables often share items.
 func drawTable(t *rapid.T, label string, generation uint64) table.Table {
 	out := table.Table{Generation: generation}
 	for _, n := range []string{"a", "b", "c", "d"} {
@@ -83,16 +83,16 @@
 		from, to := drawTable(t, "from", 3), drawTable(t, "to", 7)
 		got, ok := from.WithDelta(table.Diff(from, to))
 		if !ok || !reflect.DeepEqual(sorted(got), sorted(to)) {
-			t.Fatalf("from %+v with the change to %+v came %+v", from, to, got)
+			t.Fatalf("%+v with the change to %+v became %+v", from, to, got)
 		}
 		other := from.WithGeneration(4)
 		if _, ok := other.WithDelta(table.Diff(from, to)); ok {
-			t.Fatal("a change was put on a table that it does not start from")
+			t.Fatal("a change was applied to a table that it is not based on")
 		}
 	})
 }
 
-// sorted puts the lists in the order of their keys, which a change may alter.
+// sorted returns the table with its lists sorted by key, since a change may reorder them.
 func sorted(t table.Table) table.Table {
 	t.Endpoints = slices.Clone(t.Endpoints)
 	slices.SortFunc(t.Endpoints, func(a, b table.Endpoint) int { return strings.Compare(a.Name, b.Name) })
@@ -126,7 +126,7 @@
 	})
 }
 
-// withMore is a table with so many more endpoints, but for one of them.
+// withMore returns the example table with more endpoints, one of them left out.
 func withMore(count, without int) table.Table {
 	return bogota(func(t *table.Table) {
 		for i := range count {
@@ -139,7 +139,7 @@
 	})
 }
 
-// groupOfEach is the group of each endpoint of the model service.
+// groupOfEach maps each endpoint of the model service to its group.
 func groupOfEach(t table.Table) map[string]string {
 	out := make(map[string]string)
 	for _, g := range t.GroupsOf("lm-porta") {
@@ -154,7 +154,7 @@
 	cases := map[string]int{"a group for each zone": 90, "several groups in a zone": 400}
 	for name, count := range cases {
 		t.Run(name, func(t *testing.T) {
-			convey.Convey("An endpoint that goes moves no other to another group", t, func() {
+			convey.Convey("A removed endpoint moves no other to another group", t, func() {
 				before := groupOfEach(withMore(count, -1))
 				for without := range 20 {
 					after := groupOfEach(withMore(count, without))
