--- a/state/drain/drain.go
+++ b/state/drain/drain.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package drain knows which availability zones are drained: their endpoints get
-// nothing new until the operator takes the drain back. It is pure: positions are
-// arguments and Zones is an immutable value.
+// Package drain holds which availability zones are drained: their endpoints get no
+// new work until the operator ends the drain. It does no I/O: positions are
+// arguments, and Zones is an immutable value.
 package drain
 
 import (
@@ -20,78 +20,80 @@
 // Zone is one drained availability zone.
 type Zone struct {
 	Name string
-	// Revision is the platform's revision of the operator's write.
+	// Revision is the platform's position of the operator's write.
 	Revision uint64
 }
 
 // Change is one change on the platform.
 type Change struct {
 	Zone Zone
-	// Ended says that the drain was taken back.
+	// Ended means that the operator ended the drain.
 	Ended bool
 }
 
-// Zones are the drained zones as of a position of the platform.
+// Zones holds the drained zones as of a position of the platform.
 type Zones struct {
-	// at is the platform's revision at which the list was whole; 0 is never.
+	// at is the position up to which the list is complete; 0 means nothing is known.
 	at uint64
-	// revision is that of the last change, as far as this box or another knows.
+	// revision is the position of the latest change that this box or another one knows of.
 	revision uint64
-	drained  []Zone
-	// ended are drains that ended, as they were written.
+	// drained lists the drained zones, sorted by name.
+	drained []Zone
+	// ended lists drains that have ended, with the revisions of their writes.
 	ended []Zone
 }
 
-// firstRevision is that of a list on which no zone was ever drained, as of a position: 0
-// says that nothing is known.
+// firstRevision returns the revision of a list on which no zone was ever drained, as of a
+// position. It is above 0, which means that nothing is known.
 func firstRevision(at uint64) uint64 { return position.Of(position.Era(at), 1) }
 
-// Update is the drained zones on their way from one box to another.
+// Update carries the drained zones from one box to another.
 type Update struct {
-	// Origin is the box that read them from the platform; empty is an answer to
-	// a question.
-	Origin       string
+	// Origin is the box that read them from the platform; empty on the answer to a
+	// request for the zones.
+	Origin string
+	// At and Revision are those of the sender's Zones.
 	At, Revision uint64
 	Drained      []Zone
 }
 
-// Known says whether the drained zones were ever heard.
+// Known reports whether the drained zones were ever received.
 func (z Zones) Known() bool { return z.at > 0 }
 
-// At is the platform's revision at which the list was whole.
+// At returns the platform's position up to which the list is complete; 0 means nothing is known.
 func (z Zones) At() uint64 { return z.at }
 
-// Revision grows with each change that a box sees.
+// Revision returns the revision, which rises with each change that the box learns of.
 func (z Zones) Revision() uint64 { return z.revision }
 
-// Version is what a box names to the others with each message: those that name the
-// same one agree. The zero value knows nothing.
+// Version identifies a state of the zones. Boxes send it with each message, and those with
+// the same version agree. The zero value stands for a box that knows nothing.
 type Version struct {
 	Revision uint64
-	// Digest is that of the drained zones. Two boxes that have just started may
-	// know different ones by the same revision, as neither saw what has ended.
+	// Digest is a hash of the drained zones. Two boxes that have just started may know
+	// different zones under the same revision, as neither has seen which drains ended.
 	Digest uint64
 }
 
-// Version is that of the zones.
+// Version returns the version of the zones.
 func (z Zones) Version() Version {
 	hash := xxhash.New()
 	for _, zone := range z.drained {
-		// A hash takes all that it is given.
+		// Writing to a hash never fails.
 		_, _ = fmt.Fprintf(hash, "%q %d ", zone.Name, position.Revision(zone.Revision))
 	}
 	return Version{Revision: z.revision, Digest: hash.Sum64()}
 }
 
-// Misses says whether a box that names a version may know what is not known here.
+// Misses reports whether a box with another version may know something that is not known here.
 func (z Zones) Misses(v Version) bool {
 	return v.Revision > z.revision || v.Revision > 0 && v.Revision == z.revision && v.Digest != z.Version().Digest
 }
 
-// Drained lists the drained zones by name.
+// Drained lists the drained zones, sorted by name.
 func (z Zones) Drained() []Zone { return slices.Clone(z.drained) }
 
-// Names are the names of the drained zones, as a set.
+// Names returns the set of the drained zones' names.
 func (z Zones) Names() map[string]bool {
 	out := make(map[string]bool, len(z.drained))
 	for _, zone := range z.drained {
@@ -100,30 +102,30 @@
 	return out
 }
 
-// Same says whether two boxes, or one at two times, know the same.
+// Same reports whether two states have the same revision and drained zones.
 func (z Zones) Same(o Zones) bool {
 	return z.revision == o.revision && slices.Equal(z.drained, o.drained)
 }
 
-// Update gives the zones the form in which they go to other boxes.
+// Update returns the zones as an update for other boxes.
 func (z Zones) Update(origin string) Update {
 	return Update{Origin: origin, At: z.at, Revision: z.revision, Drained: z.Drained()}
 }
 
-// sorted copies zones in the order of their names.
-func sorted(zones []Zone) []Zone {
+// sortedByName returns a copy of zones, sorted by name.
+func sortedByName(zones []Zone) []Zone {
 	out := slices.Clone(zones)
 	slices.SortFunc(out, func(a, b Zone) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
-// WithList returns the zones after a whole list as of a revision. An older list
-// changes nothing.
+// WithList returns the zones after a whole list as of a position. A list older than
+// the zones changes nothing.
 func (z Zones) WithList(at uint64, list []Zone) Zones {
 	if at < z.at {
 		return z
 	}
-	list = sorted(list)
+	list = sortedByName(list)
 	revision := max(z.revision, firstRevision(at))
 	switch {
 	case slices.Equal(list, z.drained):
@@ -134,11 +136,12 @@
 			revision = max(revision, zone.Revision)
 		}
 	}
-	return z.with(at, revision, list)
+	return z.withDrained(at, revision, list)
 }
 
-// with returns the zones as of a position with others drained, and remembers which ended.
-func (z Zones) with(at, revision uint64, drained []Zone) Zones {
+// withDrained returns the zones as of a position with another set of drained zones, and records
+// which drains have ended.
+func (z Zones) withDrained(at, revision uint64, drained []Zone) Zones {
 	ended := z.ended
 	for _, zone := range z.drained {
 		if indexOf(drained, zone.Name) < 0 {
@@ -148,23 +151,24 @@
 	return Zones{at: at, revision: revision, drained: drained, ended: ended}
 }
 
+// indexOf returns the index of the zone with a name, or -1.
 func indexOf(zones []Zone, name string) int {
 	return slices.IndexFunc(zones, func(z Zone) bool { return z.Name == name })
 }
 
-// without copies zones, but for one.
+// without returns a copy of zones that lacks the one with a name.
 func without(zones []Zone, name string) []Zone {
 	return slices.DeleteFunc(slices.Clone(zones), func(z Zone) bool { return z.Name == name })
 }
 
-// AtReturn returns the zones after the list of a platform that came back from an older copy.
-// What was known to be drained is so still; what is on the list is drained too, unless it is
-// a drain that is known to have ended.
+// AtReturn returns the zones after the list of a platform that was restored from an older copy.
+// Zones known to be drained stay drained. Those on the list are drained too, unless the listed
+// drain is known to have ended.
 func (z Zones) AtReturn(at uint64, list []Zone) Zones {
 	if at < z.at {
 		return z
 	}
-	drained := sorted(list)
+	drained := sortedByName(list)
 	drained = slices.DeleteFunc(drained, func(zone Zone) bool {
 		i := indexOf(z.ended, zone.Name)
 		return i >= 0 && position.Revision(z.ended[i].Revision) == position.Revision(zone.Revision)
@@ -175,15 +179,15 @@
 			drained = append(drained, zone)
 		}
 	}
-	drained = sorted(drained)
+	drained = sortedByName(drained)
 	revision := max(z.revision, firstRevision(at))
 	if !maps.Equal(Zones{drained: drained}.Names(), z.Names()) {
 		revision = at
 	}
-	return z.with(at, revision, drained)
+	return z.withDrained(at, revision, drained)
 }
 
-// WithChanges returns the zones after changes up to a revision, in their order.
+// WithChanges returns the zones after changes up to a position, applied in order.
 // Changes older than the zones change nothing.
 func (z Zones) WithChanges(at uint64, changes []Change) Zones {
 	if at < z.at {
@@ -199,18 +203,18 @@
 	return z.WithList(at, list)
 }
 
-// WithUpdate returns the zones after what another box knows. Of two lists that
-// differ the one at the later position holds; a box that hears of the other then
-// names a revision above both, so that those who know only the other ask it.
+// WithUpdate returns the zones after another box's update. If the lists differ, the
+// one at the later position wins, and the result's revision is raised so that boxes
+// which know only the other list request this one.
 func (z Zones) WithUpdate(u Update) Zones {
-	u.Drained = sorted(u.Drained)
+	u.Drained = sortedByName(u.Drained)
 	differ := !slices.Equal(z.drained, u.Drained)
 	if u.At > z.at {
 		revision := max(z.revision, u.Revision)
 		if differ && u.Revision <= z.revision {
 			revision = u.At
 		}
-		return z.with(u.At, revision, u.Drained)
+		return z.withDrained(u.At, revision, u.Drained)
 	}
 	if differ && u.Revision >= z.revision {
 		z.revision = max(z.at, u.Revision)
@@ -220,7 +224,8 @@
 	return z
 }
 
-// Corrects says whether what another box knows is older and differs.
+// Corrects reports whether another box's update is older than the zones and differs from
+// them, so that the other box needs this one's list.
 func (z Zones) Corrects(u Update) bool {
 	return z.at > u.At && !slices.Equal(z.drained, u.Drained)
 }
--- a/state/drain/drain_test.go
+++ b/state/drain/drain_test.go
@@ -15,7 +15,7 @@
 	"runridge.example/runridge/tests/seed"
 )
 
-// listOf gives a set of drained zones the form of a list.
+// listOf returns a set of drained zones as a list, sorted by name.
 func listOf(zones map[string]uint64) []Zone {
 	var out []Zone
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
@@ -33,11 +33,11 @@
 		at       uint64
 		revision uint64
 	}{
-		"nothing was heard":                             {Zones{}, 0, 0, 0},
+		"nothing was received":                          {Zones{}, 0, 0, 0},
 		"none was ever drained":                         {Zones{}.WithList(50, nil), 0, 50, 1},
-		"a first list tells by its zones' writes":       {known, 1, 50, 40},
+		"a first list, by its zones' writes":            {known, 1, 50, 40},
 		"the same list is no change":                    {known.WithList(60, one), 1, 60, 40},
-		"an older list is none":                         {known.WithList(49, nil), 1, 50, 40},
+		"an older list is ignored":                      {known.WithList(49, nil), 1, 50, 40},
 		"a drain that is not on the list":               {known.WithList(60, nil), 0, 60, 60},
 		"a drain that ended":                            {known.WithChanges(55, []Change{{Zone: one[0], Ended: true}}), 0, 55, 55},
 		"an older copy lacks the drain":                 {known.AtReturn(position.Of(2, 20), nil), 1, position.Of(2, 20), position.Of(2, 1)},
@@ -45,7 +45,7 @@
 		"an older copy has a drain that ended":          {known.WithList(60, nil).AtReturn(position.Of(2, 45), one), 0, position.Of(2, 45), position.Of(2, 1)},
 		"an older copy, and the zone was drained again": {known.WithList(60, nil).AtReturn(position.Of(2, 45), []Zone{{Name: "a", Revision: position.Of(2, 44)}}), 1, position.Of(2, 45), position.Of(2, 45)},
 		"an older copy, and another zone was drained":   {known.AtReturn(position.Of(2, 45), []Zone{{Name: "b", Revision: position.Of(2, 44)}}), 2, position.Of(2, 45), position.Of(2, 45)},
-		"an older change is none":                       {known.WithChanges(49, []Change{{Zone: one[0], Ended: true}}), 1, 50, 40},
+		"an older change is ignored":                    {known.WithChanges(49, []Change{{Zone: one[0], Ended: true}}), 1, 50, 40},
 		"ended and written again": {
 			known.WithChanges(57, []Change{{Zone: one[0], Ended: true}, {Zone: Zone{Name: "a", Revision: 57}}}), 1, 57, 57,
 		},
@@ -57,15 +57,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if n := len(c.zones.Drained()); n != c.drained || c.zones.At() != c.at || c.zones.Revision() != c.revision {
-				t.Errorf("%d drained at %d by revision %d, want %d, %d, %d", n, c.zones.At(), c.zones.Revision(), c.drained, c.at, c.revision)
+				t.Errorf("%d drained at %d with revision %d, want %d, %d, %d", n, c.zones.At(), c.zones.Revision(), c.drained, c.at, c.revision)
 			}
 		})
 	}
 }
 
-// TestOracleZones has boxes read a store's list, its changes, and each other, at any
-// times and in any order. None may go back, and those that ask each other whenever
-// one names a version that the other misses agree in the end with the one that knows most.
+// TestOracleZones has boxes read a store's list, its changes and each other's zones, at any
+// time and in any order. No box may go back to an older state. Boxes that request the zones
+// whenever another one has a version that they miss must agree with the newest box in the end.
 func TestOracleZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const last = 25
@@ -114,12 +114,13 @@
 			}
 			check(i, before)
 		}
-		agree(t, boxes)
+		requestUntilAgreed(t, boxes)
 	})
 }
 
-// agree has boxes ask each other while one names a version that another misses.
-func agree(t *rapid.T, boxes []Zones) {
+// requestUntilAgreed has boxes request each other's zones while one has a version that another misses, and
+// checks that all then have those of the newest box.
+func requestUntilAgreed(t *rapid.T, boxes []Zones) {
 	for range 20 {
 		for i := range boxes {
 			for j := range boxes {
@@ -134,13 +135,13 @@
 			}
 		}
 	}
-	most := slices.MaxFunc(boxes, func(a, b Zones) int { return int(a.At()) - int(b.At()) })
+	newest := slices.MaxFunc(boxes, func(a, b Zones) int { return int(a.At()) - int(b.At()) })
 	for i, z := range boxes {
-		if !z.Same(most) {
-			t.Fatalf("box %d knows %v by %d, the newest %v by %d", i, z.Drained(), z.Revision(), most.Drained(), most.Revision())
+		if !z.Same(newest) {
+			t.Fatalf("box %d has %v with revision %d, the newest box %v with %d", i, z.Drained(), z.Revision(), newest.Drained(), newest.Revision())
 		}
 	}
 }
 
-// TestMain fixes the seed of the model-based test.
+// TestMain fixes the seed of the property test.
 func TestMain(m *testing.M) { os.Exit(seed.Run(m, 5000)) }
