--- a/state/route/route.go
+++ b/state/route/route.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: MIT
 
 // Package route finds the route of an opaque request by its host and path, and
-// the service that gets it.
+// chooses the service that receives it.
 package route
 
 import (
@@ -13,14 +13,15 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Index finds routes. It is an immutable value made from one table.
+// Index finds routes by host and path. It is an immutable value built from one table.
 type Index struct {
-	// generation is that of the table.
+	// generation is the generation of the table.
 	generation uint64
-	hosts      map[string]map[string]table.Route
+	// hosts maps hosts in lower case to their routes by prefix.
+	hosts map[string]map[string]table.Route
 }
 
-// NewIndex makes the index of a table's routes.
+// NewIndex returns the index of a table's routes.
 func NewIndex(t table.Table) Index {
 	x := Index{generation: t.Generation, hosts: make(map[string]map[string]table.Route)}
 	for _, r := range t.Routes {
@@ -33,17 +34,18 @@
 	return x
 }
 
-// Generation is that of the table that the index was made from; 0 is none.
+// Generation returns the generation of the table that the index was built from; 0 is
+// none.
 func (x Index) Generation() uint64 { return x.generation }
 
-// Match finds the route of a host whose prefix is the longest that begins the
-// path. A port in host does not count.
+// Match returns the route of a host with the longest prefix of the path, and false
+// if there is none. A port in host is ignored.
 func (x Index) Match(host, path string) (table.Route, bool) {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 {
-		host = host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
+		host = host[:colon]
 	}
 	prefixes := x.hosts[strings.ToLower(host)]
-	// Each prefix ends with a slash, so only the path's own slashes count.
+	// Each prefix ends with a slash, so only parts that end at a slash are looked up.
 	for end := len(path); end > 0; end = strings.LastIndexByte(path[:end-1], '/') + 1 {
 		if path[end-1] != '/' {
 			continue
@@ -55,8 +57,9 @@
 	return table.Route{}, false
 }
 
-// Pick chooses the service for a request by the route's weights. The same key
-// gets the same service from every box for as long as the weights stay.
+// Pick chooses the service for a request by the route's weights. Every box chooses
+// the same service for the same key as long as the weights stay. It returns "" if
+// all weights are 0.
 func Pick(r table.Route, key string) string {
 	sum := uint64(0)
 	for _, t := range r.Targets {
@@ -65,12 +68,12 @@
 	if sum == 0 {
 		return ""
 	}
-	left := xxhash.Sum64String(key) % sum
+	remaining := xxhash.Sum64String(key) % sum
 	for _, t := range r.Targets {
-		if left < uint64(t.Weight) {
+		if remaining < uint64(t.Weight) {
 			return t.Service
 		}
-		left -= uint64(t.Weight)
+		remaining -= uint64(t.Weight)
 	}
 	return ""
 }
--- a/state/route/route_test.go
+++ b/state/route/route_test.go
@@ -31,7 +31,7 @@
 		"the longest wins":       {[]string{"/a/", "/a/b/", "/"}, "desk.example", "/a/b/c", "/a/b/"},
 		"root takes the rest":    {[]string{"/a/", "/"}, "desk.example", "/x", "/"},
 		"no slash at the end":    {[]string{"/a/"}, "desk.example", "/a", ""},
-		"a longer name":          {[]string{"/a/"}, "desk.example", "/ab/c", ""},
+		"a longer segment":       {[]string{"/a/"}, "desk.example", "/ab/c", ""},
 		"another host":           {[]string{"/"}, "other.example", "/a", ""},
 		"host with port":         {[]string{"/a/"}, "desk.example:8080", "/a/x", "/a/"},
 		"host in capitals":       {[]string{"/a/"}, "DESK.example", "/a/x", "/a/"},
@@ -50,7 +50,7 @@
 }
 
 func TestPick(t *testing.T) {
-	convey.Convey("Weights share the requests out, and one key always goes the same way", t, func() {
+	convey.Convey("Requests are distributed by weight, and one key always gets the same service", t, func() {
 		r := table.Route{Targets: []table.RouteTarget{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 		count := make(map[string]int)
 		for i := range 10_000 {
