--- a/state/dedup/dedup.go
+++ b/state/dedup/dedup.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package dedup keeps the records that make a repeated request the same
-// request: one for each idempotency key, on the two boxes that rank first for
-// it. It does no I/O and takes the time as an argument.
+// Package dedup stores the records by which repeated requests are recognized: one
+// for each idempotency key, on the two boxes that rank first for it. It does no I/O
+// and takes the time as an argument.
 package dedup
 
 import (
@@ -13,33 +13,34 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// Record says who runs the request of a key.
+// Record holds which request owns an idempotency key.
 type Record struct {
 	Key string
-	// Digest is the hash of the request; a key stands for one request only.
+	// Digest is the hash of the request; a key identifies one request only.
 	Digest uint64
-	// Owner is the request that runs, on the box that took it.
+	// Owner is the request that runs, on the box that received it.
 	Owner lifecycle.RequestID
-	Once  bool
+	// Once means that the request must not be repeated.
+	Once bool
 }
 
-// Config bounds a Store.
+// Config sets the limits of a Store.
 type Config struct {
-	// Window is how long a repeat is recognized.
+	// Window is how long a repeated request is recognized.
 	Window time.Duration
-	// MaxRecords bounds the records; past it claims are refused as full.
+	// MaxRecords is the maximum number of records; further claims get the status Full.
 	MaxRecords int
 }
 
-// Defaults for Config.
+// Default values of Config.
 const (
 	DefaultWindow     = 30 * time.Second
 	defaultMaxRecords = 200_000
-	// keepMargin is how much longer than the window records are kept. It is
-	// more than a claim may take from its copy to its verdict, so that a record
-	// outlives the window that begins with the verdict.
+	// keepMargin is how much longer than the window records are kept. A claim takes
+	// less time than this from its copy to its verdict, so a record outlives the
+	// window, which begins with the verdict.
 	keepMargin = 5 * time.Second
-	// copies is how many boxes keep a record.
+	// copies is the number of boxes that keep a record.
 	copies = 2
 )
 
@@ -47,47 +48,48 @@
 type Status uint8
 
 const (
-	// Fresh means: there was no record, and now there is this one.
+	// Fresh means that the claiming request owns the key now: there was no record, or
+	// one that it may replace or had made itself.
 	Fresh Status = iota
-	// Existing means: another request owns the key.
+	// Existing means that another request owns the key.
 	Existing
-	// Mismatch means: the key was used for another request.
+	// Mismatch means that the key was used for a request with another digest.
 	Mismatch
-	// NotMine means: this box does not rank for the key, as far as it knows.
+	// NotMine means that this box does not hold the key's records, as far as it knows.
 	NotMine
-	// Full means: there is no room for another record.
+	// Full means that the store has no room for another record.
 	Full
 )
 
-// view is the boxes with duties at a time.
+// view is the set of boxes with duties since a time.
 type view struct {
 	from  time.Time
 	boxes []string
 }
 
-// kept is a record with the time of its receipt.
-type kept struct {
+// storedRecord is a record with the time at which it was received.
+type storedRecord struct {
 	Record
 	at time.Time
-	// sure is set once the owner was told to run.
-	sure bool
+	// confirmed is set once the owner was notified that it may run.
+	confirmed bool
 }
 
-// Store is one box's records and its memory of who ranked when. One goroutine
-// owns it.
+// Store holds one box's records and the recent sets of boxes, from which it knows
+// which boxes held a key's record when. It is not safe for concurrent use: one
+// goroutine owns it.
 type Store struct {
 	cfg     Config
 	self    string
 	rank    func(key string, boxes []string) []string
-	records map[string]kept
-	// oldest are the keys by receipt, for expiry.
-	oldest []string
-	// views are the sets of boxes since the box began to trust itself, the
-	// newest last.
+	records map[string]storedRecord
+	// keysByAge lists the keys in the order in which they were received, for expiry.
+	keysByAge []string
+	// views lists the sets of boxes since the latest call of Distrust, the newest last.
 	views []view
 }
 
-// New makes an empty store. Rank orders boxes for a key.
+// New returns an empty store. rank orders boxes for a key.
 func New(cfg Config, self string, rank func(key string, boxes []string) []string) *Store {
 	if cfg.Window <= 0 {
 		cfg.Window = DefaultWindow
@@ -95,20 +97,20 @@
 	if cfg.MaxRecords <= 0 {
 		cfg.MaxRecords = defaultMaxRecords
 	}
-	return &Store{cfg: cfg, self: self, rank: rank, records: make(map[string]kept)}
+	return &Store{cfg: cfg, self: self, rank: rank, records: make(map[string]storedRecord)}
 }
 
-// SetBoxes takes in the boxes that have duties from now on.
+// SetBoxes sets the boxes that have duties from now on.
 func (s *Store) SetBoxes(now time.Time, boxes []string) {
 	s.views = append(s.views, view{from: now, boxes: slices.Clone(boxes)})
-	// Of the views that ended before the window only the last still matters.
+	// Views that ended before the window do not matter any more.
 	for len(s.views) > 1 && now.Sub(s.views[1].from) > s.cfg.Window {
 		s.views = s.views[1:]
 	}
 }
 
-// Distrust forgets who ranked when: others thought this box dead, or it stood
-// still, so records may have been made without it.
+// Distrust discards all earlier sets of boxes. It is called when others took this
+// box for dead or the box was paused: records may have been made without it.
 func (s *Store) Distrust(now time.Time) {
 	if len(s.views) == 0 {
 		return
@@ -117,8 +119,7 @@
 	s.views = []view{{from: now, boxes: last.boxes}}
 }
 
-// Holders lists the boxes that keep a key's record now, the first in rank
-// first.
+// Holders lists the boxes that keep a key's record now, in the order of their rank.
 func (s *Store) Holders(key string) []string {
 	if len(s.views) == 0 {
 		return nil
@@ -126,13 +127,14 @@
 	return s.holdersIn(s.views[len(s.views)-1], key)
 }
 
+// holdersIn lists the boxes that keep a key's record in a view.
 func (s *Store) holdersIn(v view, key string) []string {
 	order := s.rank(key, v.boxes)
 	return order[:min(copies, len(order))]
 }
 
-// Covers says whether every record of a key made within the window must be
-// here: this box has been one of the key's holders all that time.
+// Covers reports whether every record of a key that was made within the window must
+// be in this store: this box has been one of the key's holders during the whole window.
 func (s *Store) Covers(now time.Time, key string) bool {
 	if len(s.views) == 0 || now.Sub(s.views[0].from) < s.cfg.Window {
 		return false
@@ -145,8 +147,8 @@
 	return true
 }
 
-// Claim makes or finds a key's record. Replace, if not the zero value, is the
-// owner whose record may be taken over.
+// Claim makes a key's record, or returns the status and the record that prevents it.
+// replace, if not the zero value, is the owner whose record may be taken over.
 func (s *Store) Claim(now time.Time, r Record, replace lifecycle.RequestID) (Status, Record) {
 	s.expire(now)
 	if !slices.Contains(s.Holders(r.Key), s.self) {
@@ -162,45 +164,46 @@
 		return Full, Record{}
 	}
 	if !known {
-		s.oldest = append(s.oldest, r.Key)
+		s.keysByAge = append(s.keysByAge, r.Key)
 	}
 	if known && old.Owner == r.Owner {
-		// The same claim again, after a lost reply.
+		// The same claim is repeated because its reply was lost.
 		return Fresh, r
 	}
-	s.records[r.Key] = kept{Record: r, at: now}
+	s.records[r.Key] = storedRecord{Record: r, at: now}
 	return Fresh, r
 }
 
-// Confirm notes that a record's owner is told to run.
+// Confirm records that a record's owner is notified that it may run.
 func (s *Store) Confirm(key string, owner lifecycle.RequestID) {
 	if old, known := s.records[key]; known && old.Owner == owner {
-		old.sure = true
+		old.confirmed = true
 		s.records[key] = old
 	}
 }
 
-// Forget drops a record that came to nothing. One whose owner was told to run
-// stays: a claim that is made again and comes to nothing does not undo it.
+// Forget deletes the record of a claim that failed. A confirmed record stays: a repeated
+// claim that fails must not undo an earlier one that succeeded.
 func (s *Store) Forget(key string, owner lifecycle.RequestID) {
-	if old, known := s.records[key]; known && old.Owner == owner && !old.sure {
+	if old, known := s.records[key]; known && old.Owner == owner && !old.confirmed {
 		delete(s.records, key)
 	}
 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (s *Store) Len() int {
 	return len(s.records)
 }
 
+// expire deletes records that are older than the window plus keepMargin.
 func (s *Store) expire(now time.Time) {
-	for len(s.oldest) > 0 {
-		key := s.oldest[0]
+	for len(s.keysByAge) > 0 {
+		key := s.keysByAge[0]
 		old, known := s.records[key]
 		if known && now.Sub(old.at) <= s.cfg.Window+keepMargin {
 			return
 		}
-		s.oldest = s.oldest[1:]
+		s.keysByAge = s.keysByAge[1:]
 		delete(s.records, key)
 	}
 }
