--- a/coordination/home/answer.go
+++ b/coordination/home/answer.go
@@ -11,10 +11,10 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// unknownGroup sends an ask for a group that this box does not know to another box:
-// one that starts has the table before the endpoints. Refused, 26 of the first 600
-// requests after all boxes of a fleet had been killed were told to come back after a
-// second.
+// unknownGroup answers an ask for a group that this box does not know with ReasonMoved, so
+// that the caller's box tries another box. A starting box has the table before the
+// endpoints. When such asks were refused instead, 26 of the first 600 requests after a
+// restart of a whole fleet were told to retry after a second.
 func (h *Homes) unknownGroup(c Command) {
 	a, ok := c.Body.(schedule.Ask)
 	if !ok {
@@ -27,12 +27,13 @@
 	})
 }
 
+// answer logs and counts decisions, and sends each to the box that asked.
 func (h *Homes) answer(group string, decisions []schedule.Decision) {
 	for _, d := range decisions {
 		switch d := d.(type) {
 		case schedule.Refuse:
 			h.logRefusal(group, d)
-			h.countHeldBack(group, d)
+			h.countRefused(group, d)
 		case schedule.Grant:
 			h.countGranted(group, d)
 		}
@@ -40,8 +41,8 @@
 	}
 }
 
-// logEjections writes which engines a group has taken out.
-func (h *Homes) logEjections(group string, g *running) {
+// logEjections logs the engines that a group has ejected.
+func (h *Homes) logEjections(group string, g *runningGroup) {
 	for _, e := range g.Ejections() {
 		h.cfg.Log.WithFields(log.Fields{
 			log.FieldEngine: e.Engine,
@@ -55,7 +56,7 @@
 	}
 }
 
-// logRefusal writes what a refusal was decided by.
+// logRefusal logs a refusal with the state that it was decided on.
 func (h *Homes) logRefusal(group string, r schedule.Refuse) {
 	h.cfg.Log.WithFields(log.Fields{
 		log.FieldAsk:        r.Ask.ID.String(),
--- a/coordination/home/choose.go
+++ b/coordination/home/choose.go
@@ -9,32 +9,34 @@
 	"runridge.example/runridge/state/group"
 )
 
-// Origin is where a request came in.
+// Origin is the place where a request arrived.
 type Origin struct {
 	Zone, Region string
 }
 
-// ChooseGroup picks the group of a service that is asked for a request: at the
-// first attempt one in the box's zone, if there is any, later another part. Those
-// of the box's region come before all others: a message to another region and back
-// takes some tens of milliseconds, longer than many requests. Turn shares requests
-// out where there are several, and those in without are left out; no groups give "".
-func ChooseGroup(places []group.Place, at Origin, turn uint64, attempt uint32, without []string) string {
-	fits := func(p group.Place) bool { return !slices.Contains(without, p.Key) }
+// ChooseGroup returns the key of the group of a service to ask for a request, or "" if
+// there is none. The first attempt goes to a group in the box's zone, if there is one;
+// later attempts go to any group of the region. Groups of the box's region are preferred
+// over all others: a round trip to another region takes some tens of milliseconds, longer
+// than many requests. Turn spreads requests over several candidates, and groups in excluded
+// are skipped.
+func ChooseGroup(places []group.Place, at Origin, turn uint64, attempt uint32, excluded []string) string {
+	fits := func(p group.Place) bool { return !slices.Contains(excluded, p.Key) }
 	near := func(p group.Place) bool { return p.Zone == at.Zone && fits(p) }
 	home := func(p group.Place) bool { return p.Region == at.Region && fits(p) }
-	if n := count(places, near); n > 0 && attempt == 0 {
-		return nth(places, near, turn%n)
+	if n := countPlaces(places, near); n > 0 && attempt == 0 {
+		return nthPlace(places, near, turn%n)
 	}
 	for _, set := range []func(group.Place) bool{home, fits} {
-		if n := count(places, set); n > 0 {
-			return nth(places, set, (turn+uint64(attempt))%n)
+		if n := countPlaces(places, set); n > 0 {
+			return nthPlace(places, set, (turn+uint64(attempt))%n)
 		}
 	}
 	return ""
 }
 
-func count(places []group.Place, fits func(group.Place) bool) uint64 {
+// countPlaces returns the number of groups that match.
+func countPlaces(places []group.Place, fits func(group.Place) bool) uint64 {
 	n := uint64(0)
 	for _, p := range places {
 		if fits(p) {
@@ -44,8 +46,8 @@
 	return n
 }
 
-// nth is the key of the group that comes after n others that fit.
-func nth(places []group.Place, fits func(group.Place) bool, n uint64) string {
+// nthPlace returns the key of the candidate that comes after n others, or "".
+func nthPlace(places []group.Place, fits func(group.Place) bool, n uint64) string {
 	for _, p := range places {
 		if !fits(p) {
 			continue
--- a/coordination/home/choose_test.go
+++ b/coordination/home/choose_test.go
@@ -16,8 +16,8 @@
 	"runridge.example/runridge/state/table"
 )
 
-// places of a service in two regions: by zone in the first, as one group in the
-// second, whose zones are as many.
+// twoRegions are the groups of a service in two regions: one per zone in the first, and one
+// for the whole region, which has as many zones, in the second.
 var twoRegions = []group.Place{
 	{Key: "s/a-1", Zone: "a-1", Region: "a"},
 	{Key: "s/a-2", Zone: "a-2", Region: "a"},
@@ -31,7 +31,7 @@
 		at      Origin
 		attempt uint32
 		without []string
-		// want are the groups that may be chosen over all turns.
+		// want are the groups that may be chosen, over all turns.
 		want []string
 	}{
 		"no groups":                              {at: atA1, want: []string{""}},
@@ -63,8 +63,9 @@
 	}
 }
 
-// TestHomesOfALostZone holds that of the boxes that are asked for a zone's group one is
-// in another zone of its region, where there are several regions.
+// TestHomesOfALostZone checks that, with several regions, one of the boxes to ask for a
+// zone's group is in another zone of the region, so that the loss of a zone does not leave
+// its group without a home to ask.
 func TestHomesOfALostZone(t *testing.T) {
 	regions := locality.New(map[string]string{"a-1": "a", "a-2": "a", "b-1": "b"})
 	d := directory.Directory{}.WithList(time.Time{}, 1, endpointsIn("a-1", 20))
@@ -89,6 +90,7 @@
 	}
 }
 
+// endpointsIn returns n endpoints of service s in a zone.
 func endpointsIn(zone string, n int) []directory.Entry {
 	var out []directory.Entry
 	for i := range n {
--- a/coordination/home/cold.go
+++ b/coordination/home/cold.go
@@ -16,81 +16,84 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Metrics counts what cold endpoints, and those that name a limit, get.
+// Metrics counts grants and refusals for endpoints that are cold or name a limit.
 type Metrics interface {
 	// LimitGranted counts requests granted for endpoints of a service that name a limit.
 	LimitGranted(service string, requests int)
-	// LimitRefused counts a refusal while such endpoints were held back.
+	// LimitRefused counts a refusal while such endpoints were held back by their limit.
 	LimitRefused(service string)
 	// ColdGranted counts requests granted for cold endpoints of a service.
 	ColdGranted(service string, requests int)
-	// ColdRefused counts refusals while cold endpoints were held back.
+	// ColdRefused counts a refusal while cold endpoints of a service were held back.
 	ColdRefused(service string)
 }
 
-// ColdEndpoint is a cold endpoint of a group that this box is home of.
+// ColdEndpoint describes a cold endpoint of a group that this box is home of.
 type ColdEndpoint struct {
 	Group    string `json:"group"`
 	Endpoint string `json:"endpoint"`
-	// WarmInMS is after how many milliseconds it is warm.
+	// WarmInMS is the time until the endpoint counts as warm, in milliseconds.
 	WarmInMS int64 `json:"warm_in_ms"`
-	// Pace is how many requests a second it bears.
+	// Pace is the rate that the endpoint can take, in requests per second.
 	Pace float64 `json:"pace"`
-	// Counted is what it was granted lately, and Limit the most that this home may
-	// grant meanwhile, in requests.
+	// Counted is the number of requests granted to it within the current span, and Limit
+	// the most that this home may grant within that span.
 	Counted int `json:"counted"`
 	Limit   int `json:"limit"`
 }
 
-// coldDuty is what the duty keeps for cold endpoints.
-type coldDuty struct {
-	bound atomic.Pointer[pace.Bound]
-	shown atomic.Pointer[[]ColdEndpoint]
-	// ran is when the duty last did something, and resumed when it last went on after
-	// it had stood still: another box may have become home meanwhile.
-	ran, resumed time.Time
-	// left is what cold endpoints were granted by groups that ended here, as of leftAt.
-	left   map[string]pace.Window
-	leftAt time.Time
+// coldState is the state that Homes keeps about cold endpoints.
+type coldState struct {
+	bound    atomic.Pointer[pace.Bound]
+	snapshot atomic.Pointer[[]ColdEndpoint]
+	// lastStep is the time of the last step of the run loop, and resumed the time of the
+	// first step after the last pause: another box may have become home during a pause.
+	lastStep, resumed time.Time
+	// endedGrants are the recent grants to cold endpoints of groups that ended here, as of
+	// endedAt.
+	endedGrants map[string]pace.Window
+	endedAt     time.Time
 }
 
-// leftFor is for how long what an ended group granted may count.
-const leftFor = pace.OpenFor + pace.Span
+// endedGrantsTTL is how long the grants of an ended group may still count.
+const endedGrantsTTL = pace.OpenFor + pace.Span
 
-// keep keeps what a group that ends has granted to cold endpoints: it may be back in a
-// moment, or its endpoints in another group of this box.
-func (c *coldDuty) keep(now time.Time, granted map[string]pace.Window) {
-	if c.left == nil || now.Sub(c.leftAt) > leftFor {
-		c.left = make(map[string]pace.Window)
+// keepGrants keeps the grants of a group that ends: the group may start again shortly, or
+// its endpoints may join another group of this box.
+func (c *coldState) keepGrants(now time.Time, granted map[string]pace.Window) {
+	if c.endedGrants == nil || now.Sub(c.endedAt) > endedGrantsTTL {
+		c.endedGrants = make(map[string]pace.Window)
 	}
-	maps.Copy(c.left, granted)
-	c.leftAt = now
+	maps.Copy(c.endedGrants, granted)
+	c.endedAt = now
 }
 
-// stillFor is after how long without a step the duty must have stood still: it ticks
-// every idleEvery at least. Another box takes this one for dead after some 2.2 s.
-const stillFor = 500 * time.Millisecond
+// pauseThreshold is the gap between two steps of the run loop that counts as a pause. The
+// loop runs at least every idleEvery, and other boxes declare this one dead after some 2.2
+// s.
+const pauseThreshold = 500 * time.Millisecond
 
-// noteRuns takes in that the duty runs.
-func (c *coldDuty) noteRuns(now time.Time) {
-	if !c.ran.IsZero() && now.Sub(c.ran) > stillFor {
+// noteStep records a step of the run loop and detects a pause before it.
+func (c *coldState) noteStep(now time.Time) {
+	if !c.lastStep.IsZero() && now.Sub(c.lastStep) > pauseThreshold {
 		c.resumed = now
 	}
-	c.ran = now
+	c.lastStep = now
 }
 
-// SetColdBound replaces the bound on what cold endpoints get.
+// SetColdBound replaces the bound on grants to cold endpoints.
 func (h *Homes) SetColdBound(b pace.Bound) { h.cold.bound.Store(&b) }
 
-// ColdEndpoints are the cold endpoints of this box's groups.
+// ColdEndpoints returns the cold endpoints of this box's groups, as of the last report.
 func (h *Homes) ColdEndpoints() []ColdEndpoint {
-	if shown := h.cold.shown.Load(); shown != nil {
-		return *shown
+	if endpoints := h.cold.snapshot.Load(); endpoints != nil {
+		return *endpoints
 	}
 	return nil
 }
 
-// coldLimit is what a group may grant to each of its cold endpoints; nil is no bound.
+// coldLimit returns a function that gives the number of requests that a group may grant to
+// each of its cold endpoints; nil means no bound.
 func (h *Homes) coldLimit(group string, s table.Service) func(now time.Time) int {
 	if h.cfg.Standing == nil || s.ColdPace <= 0 {
 		return nil
@@ -100,8 +103,8 @@
 	}
 }
 
-// standing is this box's part in a group. One that stood still counts as having just
-// become home: another box may have been it meanwhile.
+// standing returns this box's standing in a group. After a pause the box counts as having
+// just become home, since another box may have been home meanwhile.
 func (h *Homes) standing(group string, now time.Time) pace.Standing {
 	s := h.cfg.Standing(group)
 	if !h.cold.resumed.IsZero() {
@@ -110,27 +113,28 @@
 	return s
 }
 
-// reportCold shows operators which endpoints have become cold or warm.
+// reportCold logs the endpoints that have become cold or warm, and updates the list that
+// operators see.
 func (h *Homes) reportCold(now time.Time) {
-	var shown []ColdEndpoint
+	var endpoints []ColdEndpoint
 	for key, g := range h.groups {
 		s, _ := h.known.Table().Service(g.spec.Service)
 		for _, c := range g.ColdChanges(now) {
 			h.logCold(key, s.ColdPace, c)
 		}
 		for _, e := range g.ColdEngines(now) {
-			shown = append(shown, ColdEndpoint{
+			endpoints = append(endpoints, ColdEndpoint{
 				Group: key, Endpoint: e.Engine, WarmInMS: e.Until.Sub(now).Milliseconds(),
 				Pace: s.ColdPace, Counted: e.Counted, Limit: e.Limit,
 			})
 		}
 	}
-	slices.SortFunc(shown, func(a, b ColdEndpoint) int { return strings.Compare(a.Endpoint, b.Endpoint) })
-	h.cold.shown.Store(&shown)
+	slices.SortFunc(endpoints, func(a, b ColdEndpoint) int { return strings.Compare(a.Endpoint, b.Endpoint) })
+	h.cold.snapshot.Store(&endpoints)
 }
 
-// logCold writes that an endpoint has become cold or warm.
-func (h *Homes) logCold(group string, paceOf float64, c schedule.ColdChange) {
+// logCold logs that an endpoint has become cold or warm.
+func (h *Homes) logCold(group string, rate float64, c schedule.ColdChange) {
 	event := "endpoint_warm"
 	if c.Cold {
 		event = "endpoint_cold"
@@ -139,7 +143,7 @@
 		log.FieldEngine: c.Engine,
 		"group":         group,
 		"warm_in_ms":    c.For.Milliseconds(),
-		"pace":          paceOf,
+		"pace":          rate,
 	}).Info(event)
 }
 
@@ -169,8 +173,9 @@
 	}
 }
 
-// countHeldBack counts a refusal while endpoints were held back.
-func (h *Homes) countHeldBack(group string, r schedule.Refuse) {
+// countRefused counts a refusal while endpoints were held back because they are cold or at
+// their limit.
+func (h *Homes) countRefused(group string, r schedule.Refuse) {
 	if h.cfg.Metrics == nil {
 		return
 	}
@@ -182,6 +187,7 @@
 	}
 }
 
+// serviceOf returns the service of a group that runs here, or "".
 func (h *Homes) serviceOf(group string) string {
 	if g, ok := h.groups[group]; ok {
 		return g.spec.Service
--- a/coordination/home/cold_test.go
+++ b/coordination/home/cold_test.go
@@ -19,7 +19,7 @@
 	"runridge.example/runridge/state/table"
 )
 
-// layoutOf is that of a service with endpoints in some zones.
+// layoutOf returns the layout of a service with endpoints in the given zones.
 func layoutOf(zones ...string) *group.Layout {
 	t := table.Table{Generation: 1, Services: []table.Service{{Name: "s", Kind: table.KindRouted}}}
 	var entries []directory.Entry
@@ -38,7 +38,7 @@
 	theirs := rank.Of([]string{"b"})
 	cases := map[string]struct {
 		change func(r *Router)
-		// want is how long the box has been home of zone z2's group in the end.
+		// want is how long the box has been home of zone z2's group at the end.
 		want time.Duration
 		own  bool
 	}{
@@ -72,26 +72,26 @@
 				time.Sleep(long)
 				got, own := r.HomeFor("s/z2")
 				if own != c.own || own && got != c.want {
-					t.Errorf("home: %v for %v, want %v for %v", own, got, c.own, c.want)
+					t.Errorf("is home: %v for %v, want %v for %v", own, got, c.own, c.want)
 				}
 			})
 		})
 	}
 }
 
-// coldHomes are the homes of a service with one endpoint that is cold.
+// coldHomes returns the homes of a service whose only endpoint is cold.
 func coldHomes(standing pace.Standing) *Homes {
 	t := table.Table{Generation: 1, Services: []table.Service{{Name: "s", Kind: table.KindRouted, ColdPace: 1}}}
 	cold := directory.Entry{ID: "e", Service: "s", Zone: "z", Slots: 20, ColdFor: time.Minute}
 	h := New(Config{
-		Self: "self", Answers: answers{}, Log: log.Discard(), ColdBound: pace.Bound{Overage: 1.5, Slack: 5},
+		Self: "self", Answers: discardAnswers{}, Log: log.Discard(), ColdBound: pace.Bound{Overage: 1.5, Slack: 5},
 		Standing: func(string) pace.Standing { return standing },
 	})
 	h.configure(group.New(t, directory.Directory{}.WithList(time.Now(), 1, []directory.Entry{cold})))
 	return h
 }
 
-// flood asks for many plans at once, and returns how many are granted.
+// flood sends a burst of asks and returns the number of grants that are open afterwards.
 func (h *Homes) flood() int {
 	for n := range uint64(15) {
 		time.Sleep(time.Millisecond)
@@ -107,20 +107,20 @@
 	standIn.Home = false
 	cases := map[string]struct {
 		standing pace.Standing
-		// still is for how long the home stands still before it is asked.
-		still time.Duration
+		// pause is how long the home is paused before the asks arrive.
+		pause time.Duration
 		want  int
 	}{
-		"a home":                             {standing: home, want: 5},
-		"one that has stood still":           {standing: home, still: time.Second},
-		"one that is only asked for another": {standing: standIn},
+		"a home":                      {standing: home, want: 5},
+		"one that has been paused":    {standing: home, pause: time.Second},
+		"a stand-in for another home": {standing: standIn},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := coldHomes(c.standing)
 				h.tick()
-				time.Sleep(c.still)
+				time.Sleep(c.pause)
 				if got := h.flood(); got != c.want {
 					t.Errorf("%d grants, want %d", got, c.want)
 				}
@@ -142,7 +142,7 @@
 		}
 		h.drop("s", h.groups["s"], lifecycle.ReasonMoved)
 		if got := h.flood(); got != 0 {
-			t.Errorf("%d grants in the same second by the group that is back", got)
+			t.Errorf("%d grants in the same second after the group started again", got)
 		}
 		for begin := time.Now(); time.Since(begin) < pace.Span; h.tick() {
 			time.Sleep(tickEvery)
@@ -158,12 +158,12 @@
 		h := coldHomes(pace.Standing{Home: true, For: time.Hour, Seen: 1, All: 1})
 		h.SetColdBound(pace.Bound{})
 		if got := h.flood(); got != 15 {
-			t.Errorf("%d grants where nothing is bounded, want all 15", got)
+			t.Errorf("%d grants without a bound, want all 15", got)
 		}
 	})
 }
 
-// zoneOf is the layout of a service with so many endpoints in zone z2, and some in z1.
+// zoneOf returns the layout of a service with count endpoints in zone z2, and some in z1.
 func zoneOf(count int) *group.Layout {
 	t := table.Table{Generation: 1, Services: []table.Service{{Name: "s", Kind: table.KindRouted}}}
 	var entries []directory.Entry
@@ -176,8 +176,9 @@
 	return group.New(t, directory.Directory{}.WithList(time.Now(), 1, entries)).Layout()
 }
 
-// TestHomeOfAZoneInOtherParts has the number of a zone's groups change: all of them get
-// endpoints to which another home may just have granted, and lose some.
+// TestHomeOfAZoneInOtherParts changes the number of a zone's groups. Each of them gets
+// endpoints that another home may just have granted, and loses some, so the time as home
+// starts anew.
 func TestHomeOfAZoneInOtherParts(t *testing.T) {
 	const long = 10 * time.Second
 	two, four := table.MaxZoneGroup+1, 2*table.MaxZoneGroup+1
@@ -201,7 +202,7 @@
 				r.SetLayout(zoneOf(c.after))
 				time.Sleep(long)
 				if got, own := r.HomeFor(c.key); !own || got != c.want {
-					t.Errorf("home: %v for %v, want %v; groups %v", own, got, c.want, r.layout.Load().Keys())
+					t.Errorf("is home: %v for %v, want %v; groups %v", own, got, c.want, r.layout.Load().Keys())
 				}
 			})
 		})
--- a/coordination/home/configure.go
+++ b/coordination/home/configure.go
@@ -15,8 +15,8 @@
 	"runridge.example/runridge/state/table"
 )
 
-// configure takes changed groups over into those that run here. Those whose
-// endpoints are the same under the same table are left as they are.
+// configure applies changed groups to those that run here. Groups whose endpoints and table
+// are unchanged are skipped.
 func (h *Homes) configure(known group.Groups) {
 	if h.known.Table().Stamp().After(known.Table().Stamp()) {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// watch names a group's engines to the watch.
+// watch passes the engines of a group to Config.Watch.
 func (h *Homes) watch(key string, spec *table.Group) {
 	if h.cfg.Watch == nil {
 		return
@@ -53,43 +53,43 @@
 	h.cfg.Watch(key, engines)
 }
 
-// drop gives a group up and refuses those who wait in it.
-func (h *Homes) drop(key string, g *running, reason lifecycle.Reason) {
+// drop ends a group on this box and refuses the requests that wait in it.
+func (h *Homes) drop(key string, g *runningGroup, reason lifecycle.Reason) {
 	for _, a := range g.Waiters() {
 		h.cfg.Answers.Answer(a.Box, key, schedule.Refuse{Ask: a, Reason: reason, RetryAfter: time.Second})
 	}
 	delete(h.groups, key)
-	h.cold.keep(time.Now(), g.Paced())
+	h.cold.keepGrants(time.Now(), g.Paced())
 	if h.cfg.Watch != nil {
 		h.cfg.Watch(key, nil)
 	}
 	h.cfg.Log.WithFields(log.Fields{"group": key, log.FieldReason: string(reason)}).Info("home_ended")
 }
 
-// retire gives up the groups that have another home now, once nothing is granted or
-// waits there. Boxes hear of a change at different times, and those that have not yet
-// go on asking here. Given up at each change instead, a group is begun anew 15 times in
-// four seconds while all boxes of a fleet come back, each time without its grants, and
-// its engines turn away what does not fit.
+// retire drops the groups that have another home now, once nothing is granted or waits
+// there and retireAfter has passed. Boxes learn of a change at different times, and those
+// that have not yet go on asking here. When groups were dropped at each change, a group was
+// started anew 15 times in four seconds while all boxes of a fleet came back, each time
+// without its grants, and its engines rejected what did not fit.
 func (h *Homes) retire(now time.Time) {
 	for key, g := range h.groups {
 		if h.cfg.Answers.HomeOf(key) == h.cfg.Self || g.Granted()+g.Waiting() > 0 {
-			g.needed = now
+			g.lastNeeded = now
 			continue
 		}
-		if now.Sub(g.needed) >= retireAfter {
+		if now.Sub(g.lastNeeded) >= retireAfter {
 			h.drop(key, g, lifecycle.ReasonMoved)
 		}
 	}
 }
 
-// retireAfter is how long a group that moved away stays unused: boxes agree on the
-// homes within some four seconds of a change, and a group with little to do is not
-// begun anew for each of its requests meanwhile.
+// retireAfter is how long a group whose home has moved must be unused before it is dropped.
+// Boxes agree on homes some four seconds after a change; until then a group with little
+// load must not be started anew for each of its requests.
 const retireAfter = 5 * time.Second
 
-// forgetLost frees what processes that are no more were granted.
-func (h *Homes) forgetLost() {
+// releaseLost releases the grants of processes that no longer run.
+func (h *Homes) releaseLost() {
 	lost := h.lost.Load()
 	for _, box := range lost.Dead {
 		h.dropBox(box)
@@ -99,21 +99,22 @@
 	}
 }
 
-// group finds a group or starts it: the first question makes this box its home.
-func (h *Homes) group(key string) *running {
+// groupOrStart returns a group that runs here, or starts it: the first question makes this
+// box its home. It returns nil for a group that this box does not know yet.
+func (h *Homes) groupOrStart(key string) *runningGroup {
 	if g, ok := h.groups[key]; ok {
 		return g
 	}
 	spec, ok := h.known.Get(key)
 	if !ok || len(spec.Members) == 0 && h.known.Revision() == 0 {
-		// A box that starts has the table before the endpoints, and its home would
-		// refuse as one without engines.
+		// A starting box has the table before the endpoints. As home it would refuse
+		// requests for want of engines.
 		return nil
 	}
 	cfg := h.groupConfig(spec)
 	cfg.Cautious = h.cfg.Watch != nil
-	cfg.Paced = h.cold.left
-	g := &running{Group: schedule.New(cfg, h.start), spec: spec, needed: time.Now()}
+	cfg.Paced = h.cold.endedGrants
+	g := &runningGroup{Group: schedule.New(cfg, h.start), spec: spec, lastNeeded: time.Now()}
 	h.groups[key] = g
 	h.watch(key, spec)
 	h.cfg.Log.WithFields(log.Fields{"group": key, log.FieldGeneration: h.known.Table().Generation}).Info("home_started")
@@ -123,16 +124,16 @@
 func (h *Homes) groupConfig(spec *table.Group) schedule.Config {
 	t := h.known.Table()
 	s, _ := t.Service(spec.Service)
-	weights := make(map[string]table.Account, len(t.Accounts))
+	accounts := make(map[string]table.Account, len(t.Accounts))
 	for _, a := range t.Accounts {
-		weights[a.Name] = a
+		accounts[a.Name] = a
 	}
 	return schedule.Config{
 		Targets:       targets(s),
 		Engines:       engineSpecs(t, spec),
 		LinkRate:      t.LinkRate,
-		AccountWeight: func(name string) int { return weights[name].Weight },
-		AccountLimit:  func(name string) int { return weights[name].MaxInFlight },
+		AccountWeight: func(name string) int { return accounts[name].Weight },
+		AccountLimit:  func(name string) int { return accounts[name].MaxInFlight },
 		ColdLimit:     h.coldLimit(spec.Key, s),
 		LimitShare:    h.limitShare(spec.Key),
 		Growing:       s.Engine != nil,
@@ -143,8 +144,8 @@
 	}
 }
 
-// plainWait is how long a call to a plain service may wait for a slot if the
-// table says nothing.
+// plainWait is how long a call to a plain service may wait for a slot if the table sets no
+// target.
 const plainWait = 5 * time.Second
 
 func targets(s table.Service) schedule.Targets {
@@ -155,14 +156,15 @@
 		WasteWeight:     s.WasteWeight,
 	}
 	if s.Kind == table.KindPlain {
-		// A plain call has no tokens; its slot is all that is scheduled.
+		// A plain call has no tokens; only its slot is scheduled.
 		out.FirstToken = max(out.FirstToken, plainWait)
 		out.PerToken = plainWait
 	}
 	return out
 }
 
-// plainRate makes a plain call's prefill cost nothing.
+// plainRate is the prefill rate of plain endpoints, in tokens per second: high enough that
+// the prefill of a plain call costs nothing.
 const plainRate = 1e12
 
 func engineSpecs(t table.Table, spec *table.Group) []schedule.EngineSpec {
@@ -193,12 +195,15 @@
 	return out
 }
 
+// dropBox releases the grants of a dead box.
 func (h *Homes) dropBox(box string) {
 	for key, g := range h.groups {
 		h.answer(key, g.DropBox(time.Now(), box))
 	}
 }
 
+// dropBefore releases the grants of a box's processes that started before the given
+// incarnation.
 func (h *Homes) dropBefore(box string, start uint64) {
 	for key, g := range h.groups {
 		h.answer(key, g.DropBefore(time.Now(), box, start))
--- a/coordination/home/home.go
+++ b/coordination/home/home.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package home runs the groups that this box is home of. A group's home is
-// one live box, chosen by rendezvous hashing, that counts the group's slots,
-// memory and links and answers the other boxes' questions in one round trip.
-// What it knows is soft: engines enforce their own limits, so a home that is
-// wrong or doubled costs refused orders, never a wrong answer.
+// Package home runs the groups that this box is home of. A group's home is one live box,
+// chosen by rendezvous hashing, that accounts for the group's slots, memory and links and
+// answers the questions of the other boxes in one round trip. Its state is soft: engines
+// enforce their own limits, so a home that is wrong, or two homes of one group, lead to
+// orders that engines refuse, never to a wrong answer.
 package home
 
 import (
@@ -23,97 +23,101 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Body is what a box tells a home: schedule.Ask, schedule.Adopted,
-// schedule.Report, Prefilled, Withdrawn or Limits; and what the home's own watch of
-// its engines tells it: schedule.Load or Evicted.
+// Body is the content of a Command. Boxes send schedule.Ask, schedule.Adopted,
+// schedule.Report, Prefilled, Withdrawn or Limits; the home's own watch of its engines
+// sends schedule.Load or Evicted; the stage keeper sends StageRefused or StageChanging.
 type Body any
 
-// Prefilled tells that a prefill is done.
+// Prefilled reports that the prefill of an attempt is done.
 type Prefilled struct {
 	ID       lifecycle.AttemptID
 	Computed int
 	Worked   time.Duration
 }
 
-// Withdrawn takes an ask back.
+// Withdrawn withdraws an ask.
 type Withdrawn struct {
 	ID lifecycle.AttemptID
 }
 
-// Limits tells what a box knows of limits that endpoints of the group name.
+// Limits carries the limits that endpoints of the group name, as far as the sending box
+// knows.
 type Limits struct {
 	Of []schedule.EngineLimit
 }
 
 // Command is one message to a home.
 type Command struct {
-	// From is the box that speaks.
+	// From is the box that sent the command.
 	From  string
 	Group string
 	Body  Body
 }
 
-// Answerer takes decisions and questions to other boxes.
+// Answerer sends decisions and questions to other boxes.
 type Answerer interface {
-	// Answer takes a decision back to the box that asked.
+	// Answer sends a decision to the box that asked.
 	Answer(box, group string, d schedule.Decision)
-	// Check asks a box which of its attempts are over. Engine, if not empty,
-	// is where memory is held for them.
+	// Check asks a box which of its attempts are over. Engine, if not empty, is the engine
+	// that holds memory for them.
 	Check(box, group, engine string, ids []lifecycle.AttemptID)
-	// HomeOf names the home of a group as this box sees it.
+	// HomeOf returns the home of a group as this box sees it.
 	HomeOf(group string) string
 }
 
 // StageChanges are planned changes of the stages of a group's engines.
 type StageChanges struct {
 	Group string
-	// Prefills are the engines that prefill as far as the home knows, and Wanted is
-	// how many should. Engines that an earlier home ordered may be among them.
+	// Prefills are the engines that prefill as far as the home knows, and Wanted is how
+	// many should. They may include engines that an earlier home has ordered to change.
 	Prefills []string
 	Wanted   int
 	// ToDecode and ToPrefill are the engines to order, the best first.
 	ToDecode, ToPrefill []string
 }
 
-// Stages carries out changes of stages. Calls must not block.
+// Stages carries out stage changes. Calls must not block.
 type Stages interface {
-	// Part is the pinned part of the engines that prefill, 0 if none is, and
+	// Part returns the pinned share of engines that prefill, 0 if none is pinned, and
 	// whether stages are planned at all.
 	Part() (part float64, planned bool)
 	Offer(c StageChanges) ring.Outcome
 }
 
-// StageRefused tells a group that an engine does not change after all.
+// StageRefused reports that an engine does not change its stage after all.
 type StageRefused struct {
 	Engine string
 }
 
-// StageChanging tells a group that an engine changes by an order of an earlier home.
+// StageChanging reports that an engine is changing its stage by an order of an earlier
+// home.
 type StageChanging struct {
 	Engine string
 }
 
-// Config configures the duty.
+// Config configures Homes.
 type Config struct {
 	// Self is this box's name.
 	Self    string
 	Answers Answerer
-	// Watch, if set, is told which engines to watch for a group that this box
-	// is home of; no engines ends the watch.
+	// Watch, if set, is called with the engines to watch for a group that this box is home
+	// of; no engines ends the watch.
 	Watch func(group string, engines []table.Endpoint)
-	// Stages, if set, is told of the changes of stages that are planned for groups
-	// that this box is home of.
+	// Stages, if set, receives the stage changes that are planned for groups that this box
+	// is home of.
 	Stages Stages
-	// ColdBound bounds what cold endpoints get; SetColdBound replaces it.
+	// ColdBound bounds the grants to cold endpoints; SetColdBound replaces it.
 	ColdBound pace.Bound
-	// Standing, if set, is this box's part in a group that it may be home of. Without
-	// it cold endpoints are not bounded, and limits that endpoints name are granted whole.
+	// Standing, if set, returns this box's standing in a group that it may be home of.
+	// Without it, grants to cold endpoints are not bounded, and limits that endpoints name
+	// are granted in full.
 	Standing func(group string) pace.Standing
-	// Metrics, if set, counts what cold endpoints, and those that name a limit, get.
+	// Metrics, if set, counts grants and refusals for endpoints that are cold or name a
+	// limit.
 	Metrics Metrics
 	Policy  schedule.Policy
 	Health  health.Config
-	// QueueSize bounds the commands that wait for the duty.
+	// QueueSize bounds the queue of commands; 0 means defaultQueue.
 	QueueSize int
 	Log       log.Logger
 	// Seed makes jitter differ between boxes.
@@ -121,16 +125,16 @@
 }
 
 const (
-	// tickEvery is how often waiting requests are looked at again, and idleEvery how
-	// often the duty wakes while none waits: most boxes of a large fleet are idle, and
-	// a wake-up costs as much there as here.
+	// tickEvery is how often the loop looks at pending requests, and idleEvery how often it
+	// wakes while there are none: most boxes of a large fleet are idle, and a wake-up costs
+	// as much there as on a busy one.
 	tickEvery = 5 * time.Millisecond
 	idleEvery = 200 * time.Millisecond
-	// checkEvery is how often boxes are asked about old grants: a report that was
-	// lost must not keep a slot forever. Those of model requests are old at
-	// oldGrant, longer than most answers take; those of plain ones at oldPlain,
-	// some ten times what they take: where homes moved to and fro, a third of an
-	// overloaded service's slots was lost for six seconds.
+	// checkEvery is how often boxes are asked about old grants: a lost report must not keep
+	// a slot forever. Grants of model requests are old at oldGrant, longer than most
+	// answers take, and those of plain ones at oldPlain, some ten times what they take:
+	// where homes moved back and forth, a third of an overloaded service's slots was lost
+	// for six seconds.
 	checkEvery = time.Second
 	oldGrant   = 5 * time.Second
 	oldPlain   = time.Second
@@ -140,56 +144,57 @@
 
 // Homes runs all groups of one box in one goroutine.
 type Homes struct {
-	cfg      Config
-	commands *ring.Ring[Command]
-	changes  chan group.Groups
-	live     *ring.Ring[struct{}]
-	lost     atomic.Pointer[Lost]
-	paused   *ring.Ring[struct{}]
-	leaving  atomic.Bool
-	checked  time.Time
-	planned  time.Time
-	plans    atomic.Pointer[[]StagePlan]
-	known    group.Groups
-	groups   map[string]*running
-	start    time.Time
-	cold     coldDuty
-	limits   atomic.Pointer[[]LimitedEndpoint]
+	cfg         Config
+	commands    *ring.Ring[Command]
+	changes     chan group.Groups
+	liveChanged *ring.Ring[struct{}]
+	lost        atomic.Pointer[Lost]
+	paused      *ring.Ring[struct{}]
+	leaving     atomic.Bool
+	lastCheck   time.Time
+	lastPlan    time.Time
+	plans       atomic.Pointer[[]StagePlan]
+	known       group.Groups
+	groups      map[string]*runningGroup
+	start       time.Time
+	cold        coldState
+	limits      atomic.Pointer[[]LimitedEndpoint]
 }
 
-// running is a group that this box is home of.
-type running struct {
+// runningGroup is a group that this box is home of.
+type runningGroup struct {
 	*schedule.Group
-	// spec is what the group was last configured by.
+	// spec is the specification that the group was last configured with.
 	spec *table.Group
-	// needed is when this box was last seen to be its home, or to have a request of it.
-	needed time.Time
+	// lastNeeded is when this box was last seen to be its home, or the group last had
+	// requests.
+	lastNeeded time.Time
 }
 
-// New makes the duty; Run starts it.
+// New returns Homes that run no groups yet; Run starts the loop.
 func New(cfg Config) *Homes {
 	if cfg.QueueSize <= 0 {
 		cfg.QueueSize = defaultQueue
 	}
 	h := &Homes{
-		cfg:      cfg,
-		commands: ring.New[Command](cfg.QueueSize),
-		changes:  make(chan group.Groups, 1),
-		live:     ring.New[struct{}](1),
-		paused:   ring.New[struct{}](1),
-		groups:   make(map[string]*running),
-		start:    time.Now(),
+		cfg:         cfg,
+		commands:    ring.New[Command](cfg.QueueSize),
+		changes:     make(chan group.Groups, 1),
+		liveChanged: ring.New[struct{}](1),
+		paused:      ring.New[struct{}](1),
+		groups:      make(map[string]*runningGroup),
+		start:       time.Now(),
 	}
 	h.SetColdBound(cfg.ColdBound)
 	return h
 }
 
-// Offer hands a command to the duty.
+// Offer queues a command for the run loop.
 func (h *Homes) Offer(c Command) ring.Outcome {
 	return h.commands.Offer(c)
 }
 
-// SetGroups hands changed groups to the duty; only the newest count.
+// SetGroups passes changed groups to the run loop; only the newest ones are kept.
 func (h *Homes) SetGroups(g group.Groups) {
 	for {
 		select {
@@ -204,39 +209,39 @@
 	}
 }
 
-// Lost is what this box knows of processes that are no more.
+// Lost lists processes that no longer run, as far as this box knows.
 type Lost struct {
-	// Dead are the boxes that are dead as far as this one knows. If one of them
-	// does live, its holds show in the engines' reports.
+	// Dead are the boxes that this one takes for dead. If one of them is alive, its holds
+	// show up in the engines' reports.
 	Dead []string
-	// Starts are the incarnations of the others' processes; earlier ones under
-	// the same name are over.
+	// Starts are the current incarnations of the other boxes' processes; earlier processes
+	// under the same name are gone.
 	Starts map[string]uint64
 }
 
-// LiveChanged tells that the set of boxes with duties has changed, and which
-// processes are no more: their grants come free.
+// LiveChanged reports that the set of active boxes has changed, and which processes no
+// longer run. Their grants are released.
 func (h *Homes) LiveChanged(l Lost) {
 	h.lost.Store(&l)
-	// One that waits already says the same.
-	_ = h.live.Offer(struct{}{})
+	// A pending signal already covers this change.
+	_ = h.liveChanged.Offer(struct{}{})
 }
 
-// Leave makes the duty take no new asks; whoever asks goes to another box.
+// Leave stops accepting new asks; the boxes that send them go on to another box.
 func (h *Homes) Leave() { h.leaving.Store(true) }
 
-// Paused tells that this box stood still: what it knows may be out of date.
+// Paused reports that this process was paused, so its state may be out of date.
 func (h *Homes) Paused() {
 	_ = h.paused.Offer(struct{}{})
 }
 
-// Run is the duty. It ends with the context.
+// Run processes commands and changes until the context ends. It always returns nil.
 func (h *Homes) Run(ctx context.Context) error {
 	every := idleEvery
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
-		if next := h.tickIn(); next != every {
+		if next := h.tickInterval(); next != every {
 			every = next
 			tick.Reset(every)
 		}
@@ -246,10 +251,10 @@
 		case g := <-h.changes:
 			h.configure(g)
 		case c := <-h.commands.C():
-			h.takeGroups()
+			h.applyPendingGroups()
 			h.handle(c)
-		case <-h.live.C():
-			h.forgetLost()
+		case <-h.liveChanged.C():
+			h.releaseLost()
 		case <-h.paused.C():
 			h.cold.resumed = time.Now()
 			h.check(0, 0)
@@ -259,8 +264,8 @@
 	}
 }
 
-// tickIn is after how long the duty looks again by itself.
-func (h *Homes) tickIn() time.Duration {
+// tickInterval returns the interval until the loop next wakes by itself.
+func (h *Homes) tickInterval() time.Duration {
 	for _, g := range h.groups {
 		if g.Pending() > 0 {
 			return tickEvery
@@ -269,10 +274,10 @@
 	return idleEvery
 }
 
-// takeGroups puts groups that wait into force: they were set before the command that
-// comes next was handed over, or while it waited. By chance it came first else, and the
-// first requests after a start were refused for want of endpoints.
-func (h *Homes) takeGroups() {
+// applyPendingGroups applies pending groups before the next command: they were set before
+// the command was queued, or while it waited. The select in Run picks at random otherwise,
+// and then the first requests after a start were refused for want of endpoints.
+func (h *Homes) applyPendingGroups() {
 	select {
 	case g := <-h.changes:
 		h.configure(g)
@@ -280,9 +285,10 @@
 	}
 }
 
+// handle applies one command to its group.
 func (h *Homes) handle(c Command) {
 	now := time.Now()
-	h.cold.noteRuns(now)
+	h.cold.noteStep(now)
 	if a, ask := c.Body.(schedule.Ask); ask && h.leaving.Load() {
 		h.cfg.Answers.Answer(a.Box, c.Group, schedule.Refuse{Ask: a, Reason: lifecycle.ReasonMoved, RetryAfter: time.Second})
 		return
@@ -290,7 +296,7 @@
 	g := h.groups[c.Group]
 	switch c.Body.(type) {
 	case schedule.Ask, schedule.Adopted:
-		g = h.group(c.Group)
+		g = h.groupOrStart(c.Group)
 	}
 	if g == nil {
 		h.unknownGroup(c)
@@ -298,13 +304,13 @@
 	}
 	switch body := c.Body.(type) {
 	case schedule.Ask:
-		h.nameLimits(now, c, g, body.Limits)
+		h.updateLimits(now, c, g, body.Limits)
 		h.answer(c.Group, g.Ask(now, body))
 	case schedule.Adopted:
-		h.nameLimits(now, c, g, body.Ask.Limits)
+		h.updateLimits(now, c, g, body.Ask.Limits)
 		g.Adopt(now, body)
 	case Limits:
-		h.nameLimits(now, c, g, body.Of)
+		h.updateLimits(now, c, g, body.Of)
 	case Prefilled:
 		h.answer(c.Group, g.Prefilled(now, body.ID, body.Computed, body.Worked))
 	case schedule.Report:
@@ -317,7 +323,7 @@
 	case StageRefused:
 		g.Unchanged(body.Engine)
 	case StageChanging:
-		g.Change(now, body.Engine, h.changeTime(g))
+		g.Change(now, body.Engine, h.maxChangeTime(g))
 	case Evicted:
 		h.evicted(g, body)
 	}
@@ -327,11 +333,11 @@
 type Evicted struct {
 	Engine string
 	Marks  []uint64
-	// Gap says that events were lost, so nothing known of the cache counts.
+	// Gap reports that events were lost, so all that is known of the cache is discarded.
 	Gap bool
 }
 
-func (h *Homes) evicted(g *running, e Evicted) {
+func (h *Homes) evicted(g *runningGroup, e Evicted) {
 	if e.Gap {
 		g.Restarted(e.Engine)
 		return
@@ -341,29 +347,30 @@
 	}
 }
 
+// tick does the periodic work.
 func (h *Homes) tick() {
 	now := time.Now()
-	h.cold.noteRuns(now)
+	h.cold.noteStep(now)
 	for key, g := range h.groups {
 		if g.Pending() > 0 {
 			h.answer(key, g.Tick(now))
 		}
 	}
-	if now.Sub(h.checked) >= checkEvery {
-		h.checked = now
+	if now.Sub(h.lastCheck) >= checkEvery {
+		h.lastCheck = now
 		h.retire(now)
 		h.check(oldGrant, oldPlain)
 		h.reportCold(now)
 		h.reportLimits(now)
 	}
-	if now.Sub(h.planned) >= planEvery {
-		h.planned = now
+	if now.Sub(h.lastPlan) >= planEvery {
+		h.lastPlan = now
 		h.planStages(now)
 	}
 }
 
-// check asks the boxes about grants of at least an age, that of model requests
-// or that of plain ones.
+// check asks the boxes about grants that are at least as old as model for model requests,
+// and as plain for plain ones.
 func (h *Homes) check(model, plain time.Duration) {
 	now := time.Now()
 	for key, g := range h.groups {
--- a/coordination/home/limit.go
+++ b/coordination/home/limit.go
@@ -13,28 +13,30 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// LimitedEndpoint is an endpoint that names a limit, of a group that this box is home of.
+// LimitedEndpoint describes an endpoint that names a limit, of a group that this box is
+// home of.
 type LimitedEndpoint struct {
 	Group    string `json:"group"`
 	Endpoint string `json:"endpoint"`
-	// PerSecond is the limit that it names and Rate the part that this home grants, both
-	// in requests a second.
+	// PerSecond is the limit that the endpoint names, and Rate the share of it that this
+	// home grants, both in requests per second.
 	PerSecond float64 `json:"per_second"`
 	Rate      float64 `json:"rate"`
-	// HeardMS is how many milliseconds ago the endpoint was last heard to name it.
+	// HeardMS is the age of the endpoint's last notice of the limit, in milliseconds.
 	HeardMS int64 `json:"heard_ms"`
 }
 
-// LimitedEndpoints are the endpoints of this box's groups that name a limit.
+// LimitedEndpoints returns the endpoints of this box's groups that name a limit, as of the
+// last report.
 func (h *Homes) LimitedEndpoints() []LimitedEndpoint {
-	if shown := h.limits.Load(); shown != nil {
-		return *shown
+	if endpoints := h.limits.Load(); endpoints != nil {
+		return *endpoints
 	}
 	return nil
 }
 
-// limitShare is the part of the limits of a group's endpoints that is granted here; nil is
-// all.
+// limitShare returns a function that gives the share of the limits of a group's endpoints
+// that this home grants; nil means all of it.
 func (h *Homes) limitShare(group string) func(now time.Time) float64 {
 	if h.cfg.Standing == nil {
 		return nil
@@ -42,8 +44,8 @@
 	return func(now time.Time) float64 { return pace.Share(h.standing(group, now)) }
 }
 
-// nameLimits has a group take in what a box knows of limits, and writes what that changes.
-func (h *Homes) nameLimits(now time.Time, c Command, g *running, limits []schedule.EngineLimit) {
+// updateLimits passes the limits that a box knows to a group, and logs the changes.
+func (h *Homes) updateLimits(now time.Time, c Command, g *runningGroup, limits []schedule.EngineLimit) {
 	for _, change := range g.NameLimits(now, limits) {
 		h.cfg.Log.WithFields(log.Fields{
 			log.FieldEngine: change.Engine,
@@ -58,16 +60,16 @@
 	}
 }
 
-// reportLimits shows operators which endpoints name a limit.
+// reportLimits updates the list of endpoints with limits that operators see.
 func (h *Homes) reportLimits(now time.Time) {
-	var shown []LimitedEndpoint
+	var endpoints []LimitedEndpoint
 	for key, g := range h.groups {
 		for _, e := range g.LimitedEngines(now) {
-			shown = append(shown, LimitedEndpoint{
+			endpoints = append(endpoints, LimitedEndpoint{
 				Group: key, Endpoint: e.Engine, PerSecond: e.Limit.PerSecond, Rate: e.Rate, HeardMS: e.Since.Milliseconds(),
 			})
 		}
 	}
-	slices.SortFunc(shown, func(a, b LimitedEndpoint) int { return strings.Compare(a.Endpoint, b.Endpoint) })
-	h.limits.Store(&shown)
+	slices.SortFunc(endpoints, func(a, b LimitedEndpoint) int { return strings.Compare(a.Endpoint, b.Endpoint) })
+	h.limits.Store(&endpoints)
 }
--- a/coordination/home/limit_test.go
+++ b/coordination/home/limit_test.go
@@ -26,17 +26,18 @@
 	return schedule.Ask{ID: id, Box: "b", PromptTokens: 100, OutputTokens: 10}
 }
 
-// TestOpenGrantsAreLookedAt has decode engines that may be granted nothing for a while when a
-// prefill is done. Nobody asks after that, and its slot has to come all the same.
+// TestOpenGrantsAreLookedAt limits the decode engines so that none of them may be granted
+// when a prefill is done. No further ask arrives after that, and the attempt must get its
+// decode slot all the same.
 func TestOpenGrantsAreLookedAt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sample, _ := example.Table(example.Bogota)
 		for i := range sample.Endpoints {
-			// Slots are scarce, so that they come with the end of the prefill.
+			// With few slots, the decode engine is chosen only at the end of the prefill.
 			sample.Endpoints[i].Slots = 1
 		}
-		var said []schedule.Decision
-		h := New(Config{Self: "self", Answers: decided{all: &said}, Policy: schedule.Policy{NoRecompute: true}, Log: log.Discard()})
+		var decisions []schedule.Decision
+		h := New(Config{Self: "self", Answers: recordingAnswers{decisions: &decisions}, Policy: schedule.Policy{NoRecompute: true}, Log: log.Discard()})
 		h.configure(group.New(sample.WithGeneration(1), directory.Directory{}))
 		g := sample.Groups()[0]
 		var limits []schedule.EngineLimit
@@ -50,32 +51,32 @@
 		for i := range n {
 			h.handle(Command{From: "b", Group: g.Key, Body: askOf(i)})
 		}
-		open, found := openGrant(said)
+		open, found := openGrant(decisions)
 		if !found {
-			t.Fatalf("no grant without a decode engine among %+v", said)
+			t.Fatalf("no grant without a decode engine among %+v", decisions)
 		}
 		h.handle(Command{From: "b", Group: g.Key, Body: Limits{Of: limits}})
 		h.handle(Command{From: "b", Group: g.Key, Body: Prefilled{ID: open}})
-		said = nil
-		if h.tickIn() != tickEvery {
-			t.Errorf("the next look is after %v", h.tickIn())
+		decisions = nil
+		if h.tickInterval() != tickEvery {
+			t.Errorf("the next wake-up is after %v", h.tickInterval())
 		}
 		for range 400 {
 			time.Sleep(tickEvery)
 			h.tick()
 		}
-		for _, d := range said {
+		for _, d := range decisions {
 			if slot, ok := d.(schedule.Slot); ok && slot.Ask.ID == open && slot.Paced {
 				return
 			}
 		}
-		t.Errorf("decided %+v, want a slot that was counted", said)
+		t.Errorf("decided %+v, want a slot that was counted against the limit", decisions)
 	})
 }
 
-// openGrant finds a grant that left its decode engine open.
-func openGrant(said []schedule.Decision) (lifecycle.AttemptID, bool) {
-	for _, d := range said {
+// openGrant returns the first attempt that was granted without a decode engine.
+func openGrant(decisions []schedule.Decision) (lifecycle.AttemptID, bool) {
+	for _, d := range decisions {
 		if gr, ok := d.(schedule.Grant); ok && gr.Plan.Decode == "" {
 			return gr.Ask.ID, true
 		}
@@ -83,7 +84,7 @@
 	return lifecycle.AttemptID{}, false
 }
 
-// sentBodies keeps what is sent to other boxes.
+// sentBodies records the bodies that are sent to other boxes.
 type sentBodies struct {
 	Peers
 	bodies map[string][]Body
@@ -94,8 +95,8 @@
 	return ring.Accepted
 }
 
-// TestQuestionsTellLimits holds that a home hears of a limit from the first answer that names
-// it, and that what asks any box for a plan tells what is known.
+// TestQuestionsTellLimits checks that a home receives a limit after the first answer that
+// names it, and that asks and adopted plans carry the known limits to any box.
 func TestQuestionsTellLimits(t *testing.T) {
 	sent := &sentBodies{bodies: make(map[string][]Body)}
 	r := NewRouter("self", sent)
@@ -111,22 +112,22 @@
 	r.Tell("stand-in", g.Key, askOf(1))
 	r.Tell("next", g.Key, schedule.Adopted{Ask: askOf(2)})
 	r.Tell("other", sample.Groups()[1].Key, askOf(3))
-	told := map[string]string{}
+	received := map[string]string{}
 	for box, bodies := range sent.bodies {
 		for _, b := range bodies {
 			switch b := b.(type) {
 			case Limits:
-				told[box+" hears"] = fmt.Sprint(len(b.Of), b.Of[0].Engine == engine)
+				received[box+" receives"] = fmt.Sprint(len(b.Of), b.Of[0].Engine == engine)
 			case schedule.Ask:
-				told[box+" is asked"] = fmt.Sprint(len(b.Limits))
+				received[box+" is asked"] = fmt.Sprint(len(b.Limits))
 			case schedule.Adopted:
-				told[box+" adopts"] = fmt.Sprint(len(b.Ask.Limits))
+				received[box+" adopts"] = fmt.Sprint(len(b.Ask.Limits))
 			}
 		}
 	}
-	for what, want := range map[string]string{"other hears": "1 true", "stand-in is asked": "1", "next adopts": "1", "other is asked": "0"} {
-		if told[what] != want {
-			t.Errorf("%s %q, want %q (all: %v)", what, told[what], want, told)
+	for what, want := range map[string]string{"other receives": "1 true", "stand-in is asked": "1", "next adopts": "1", "other is asked": "0"} {
+		if received[what] != want {
+			t.Errorf("%s %q, want %q (all: %v)", what, received[what], want, received)
 		}
 	}
 }
@@ -134,13 +135,13 @@
 func TestLimitedEndpointsOfAHome(t *testing.T) {
 	cases := map[string]struct {
 		standing pace.Standing
-		still    time.Duration
+		pause    time.Duration
 		want     float64
 	}{
 		"a home":                 {standing: pace.Standing{Home: true, For: time.Hour, Seen: 8, All: 8}, want: 4},
-		"one that stood still":   {standing: pace.Standing{Home: true, For: time.Hour, Seen: 8, All: 8}, still: time.Second, want: 1},
+		"one that was paused":    {standing: pace.Standing{Home: true, For: time.Hour, Seen: 8, All: 8}, pause: time.Second, want: 1},
 		"one that sees half":     {standing: pace.Standing{Home: true, For: time.Hour, Seen: 4, All: 8}, want: 2},
-		"a box that stands in":   {standing: pace.Standing{For: time.Hour, Seen: 8, All: 8}, want: 1},
+		"a stand-in":             {standing: pace.Standing{For: time.Hour, Seen: 8, All: 8}, want: 1},
 		"one that knows nothing": {standing: pace.Standing{Home: true, For: time.Hour}},
 	}
 	for name, c := range cases {
@@ -148,7 +149,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				h := coldHomes(c.standing)
 				h.tick()
-				time.Sleep(c.still)
+				time.Sleep(c.pause)
 				ask := askOf(1)
 				ask.Limits = []schedule.EngineLimit{{Engine: "e", Limit: pace.LimitOf(4)}}
 				h.handle(Command{From: "b", Group: "s", Body: ask})
--- a/coordination/home/router.go
+++ b/coordination/home/router.go
@@ -20,78 +20,79 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Peers sends to other boxes.
+// Peers sends messages to other boxes.
 type Peers interface {
 	SendCommand(box string, c Command) ring.Outcome
 	SendDecision(box, group string, d schedule.Decision) ring.Outcome
 	SendCheck(box, group, engine string, ids []lifecycle.AttemptID) ring.Outcome
 }
 
-// Decisions takes decisions for requests of this box.
+// Decisions receives the decisions and checks for requests of this box.
 type Decisions interface {
 	Decide(from, group string, d schedule.Decision)
 	Check(from, group, engine string, ids []lifecycle.AttemptID)
 }
 
-// Router takes questions to the homes and answers back to the boxes, here or
-// elsewhere.
+// Router sends questions to the homes of groups, and decisions back to the boxes that
+// asked; this box may be either.
 type Router struct {
-	self  string
-	peers Peers
-	local *Homes
-	here  Decisions
-	live  atomic.Pointer[rank.Boxes]
+	self      string
+	peers     Peers
+	local     *Homes
+	decisions Decisions
+	live      atomic.Pointer[rank.Boxes]
 	// established are the live boxes that homes are chosen from.
 	established atomic.Pointer[rank.Boxes]
-	// ranks are the orders that were worked out since the boxes last changed.
+	// ranks caches the orders that were computed since the boxes last changed.
 	ranks atomic.Pointer[ranks]
 
-	// notices are what endpoints say of themselves, as far as this box knows; nil is
+	// notices holds the notices of endpoints, as far as this box knows them; nil means
 	// none.
 	notices *notice.Keeper
-	// turn counts the questions, so that of many limits each is told in turn.
+	// turn counts the questions; if there are too many limits for one question, the
+	// questions send them in turn.
 	turn atomic.Uint64
 
-	// mutex guards the layout that homes are worked out from.
+	// mutex guards the layout that homes are computed from.
 	mutex  sync.Mutex
 	groups atomic.Pointer[group.Groups]
 	layout atomic.Pointer[group.Layout]
 	homes  atomic.Pointer[map[string]string]
-	// since is from when this box is the home of its groups, and liveSince from when
-	// it sees the same boxes.
+	// since is when this box became the home of each of its groups, and liveSince when the
+	// set of established boxes last changed.
 	since     atomic.Pointer[map[string]time.Time]
 	liveSince time.Time
-	// former are groups that another box has now, or that there are no more.
+	// former are the groups whose home this box was until recently.
 	former map[string]tenure
 }
 
-// tenure is when this box was the home of a group.
+// tenure is the time in which this box was the home of a group.
 type tenure struct{ begun, ended time.Time }
 
-// ranks are the orders of boxes for keys, worked out for the boxes of a time.
+// ranks caches the orders of boxes by key, for one set of boxes.
 type ranks struct {
-	// all are all boxes, owners the first of those established, homes those that
-	// are asked for a group.
+	// all ranks all live boxes, owners the first of the established ones, and homes the
+	// boxes to ask for a group.
 	all, owners, homes rank.Orders
 }
 
-// NewRouter makes the router of a box; Connect completes it.
+// NewRouter returns the router of a box; Connect completes it.
 func NewRouter(self string, peers Peers) *Router {
 	r := &Router{self: self, peers: peers, former: make(map[string]tenure)}
 	r.SetLive(rank.Of([]string{self}), rank.Of([]string{self}))
 	return r
 }
 
-// Connect names this box's own home duty, its dispatcher, and what knows the endpoints'
-// notices; nil knows none.
+// Connect sets this box's own homes, its dispatcher, and the keeper of the endpoints'
+// notices; a nil keeper has no notices.
 func (r *Router) Connect(local *Homes, here Decisions, notices *notice.Keeper) {
 	r.local = local
-	r.here = here
+	r.decisions = here
 	r.notices = notices
 }
 
-// SetLive replaces the list of live boxes, and of those among them that homes
-// are chosen from.
+// SetLive replaces the live boxes, and the established ones among them that homes are
+// chosen from.
 func (r *Router) SetLive(live, established rank.Boxes) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -109,7 +110,7 @@
 	r.SetLayout(g.Layout())
 }
 
-// SetLayout replaces which groups there are.
+// SetLayout replaces the layout of the groups.
 func (r *Router) SetLayout(l *group.Layout) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -120,12 +121,12 @@
 	r.assign()
 }
 
-// assign works the homes out anew. The mutex is held.
+// assign computes the homes of all groups anew. The caller holds the mutex.
 func (r *Router) assign() {
 	layout := r.layout.Load()
 	keys := make([]rank.Key, 0, len(layout.Keys()))
 	for _, key := range layout.Keys() {
-		keys = append(keys, keyOf(layout, key))
+		keys = append(keys, rankKey(layout, key))
 	}
 	homes := r.established.Load().AssignNear(keys)
 	since := r.homesSince(homes)
@@ -134,16 +135,17 @@
 	r.ranks.Store(&ranks{})
 }
 
-// keyOf is a group as boxes are ranked for it.
-func keyOf(l *group.Layout, key string) rank.Key {
+// rankKey returns the key by which boxes are ranked for a group.
+func rankKey(l *group.Layout, key string) rank.Key {
 	p := l.Place(key)
 	return rank.Key{Name: key, Zone: p.Zone, Region: p.Region}
 }
 
-// homesSince is from when this box is home of its groups. Of a new group it is from
-// when the boxes are the same: no other can have taken itself for its home since. If
-// others ended in the same step, their endpoints may be in it; and if its zone is cut
-// into another number of parts, those of its other parts are. The mutex is held.
+// homesSince returns when this box became home of each of its groups. For a new group that
+// is when the set of boxes last changed: no other box can have considered itself its home
+// since. If other groups ended in the same step, the new group may have their endpoints;
+// and if its zone is split into a different number of parts, it may have those of the other
+// parts. In both cases it is now. The caller holds the mutex.
 func (r *Router) homesSince(homes map[string]string) map[string]time.Time {
 	now := time.Now()
 	before, since := r.homes.Load(), r.since.Load()
@@ -152,30 +154,30 @@
 		before, since = &map[string]string{}, &map[string]time.Time{}
 	}
 	ended := slices.ContainsFunc(slices.Collect(maps.Keys(*before)), func(key string) bool { return homes[key] == "" })
-	was, is := partsOf(*before), partsOf(homes)
+	partsBefore, partsAfter := partsOf(*before), partsOf(homes)
 	for key, box := range homes {
 		zone := table.WholeZoneKey(key)
-		cutAnew := was[zone] > 0 && was[zone] != is[zone]
+		partsChanged := partsBefore[zone] > 0 && partsBefore[zone] != partsAfter[zone]
 		_, known := (*before)[key]
 		begun, own := (*since)[key]
 		last, had := r.former[key]
 		switch {
 		case box != r.self:
-		case own && !cutAnew:
+		case own && !partsChanged:
 			out[key] = begun
 		case had && now.Sub(last.ended) <= pace.ReturnTime:
 			out[key] = last.begun
-		case !known && !ended && !cutAnew:
+		case !known && !ended && !partsChanged:
 			out[key] = r.liveSince
 		default:
 			out[key] = now
 		}
 	}
-	r.noteFormer(now, *since, out)
+	r.updateFormer(now, *since, out)
 	return out
 }
 
-// partsOf counts the groups of each zone of a service.
+// partsOf returns the number of groups of each zone of a service.
 func partsOf(homes map[string]string) map[string]int {
 	out := make(map[string]int, len(homes))
 	for key := range homes {
@@ -184,9 +186,9 @@
 	return out
 }
 
-// noteFormer keeps the groups that this box has just lost, and forgets those lost long
-// ago. The mutex is held.
-func (r *Router) noteFormer(now time.Time, before, after map[string]time.Time) {
+// updateFormer records the groups that this box has just lost, and deletes those lost
+// longer than pace.ReturnTime ago. The caller holds the mutex.
+func (r *Router) updateFormer(now time.Time, before, after map[string]time.Time) {
 	maps.DeleteFunc(r.former, func(_ string, t tenure) bool { return now.Sub(t.ended) > pace.ReturnTime })
 	for key, begun := range before {
 		if _, own := after[key]; !own {
@@ -195,36 +197,36 @@
 	}
 }
 
-// HomeFor is how long this box has been the home of a group; false is not at all.
+// HomeFor returns how long this box has been the home of a group; false means that it is
+// not its home.
 func (r *Router) HomeFor(key string) (time.Duration, bool) {
 	begun, own := (*r.since.Load())[key]
 	return time.Since(begun), own
 }
 
-// Live is the number of live boxes.
+// Live returns the number of live boxes.
 func (r *Router) Live() int { return len(r.live.Load().Names()) }
 
-// maxRank is how many boxes are tried as a group's home.
+// maxRank is the number of boxes that are tried as a group's home.
 const maxRank = 3
 
-// Ranked lists all boxes with duties in their order for a key.
+// Ranked returns all live boxes in their order for a key.
 func (r *Router) Ranked(key string) []string {
 	return r.ranks.Load().all.Of(key, func() []string { return r.live.Load().Order(key) })
 }
 
-// ownersOfKey is how many boxes may have the duty of a key: the first, and the one
-// that stands in for it.
-const ownersOfKey = 2
+// maxOwners is the number of boxes that may own a key: the first, and its stand-in.
+const maxOwners = 2
 
-// OwnersOf lists the boxes for a duty that belongs to a key, the first one first.
+// OwnersOf returns the boxes that may own a key, the owner first.
 func (r *Router) OwnersOf(key string) []string {
-	return r.ranks.Load().owners.Of(key, func() []string { return r.established.Load().First(key, ownersOfKey) })
+	return r.ranks.Load().owners.Of(key, func() []string { return r.established.Load().First(key, maxOwners) })
 }
 
-// PlacesOf lists the groups of a service.
+// PlacesOf returns the groups of a service.
 func (r *Router) PlacesOf(service string) []group.Place { return r.layout.Load().Places(service) }
 
-// Places are the places of all groups.
+// Places returns all groups.
 func (r *Router) Places() []group.Place {
 	layout := r.layout.Load()
 	out := make([]group.Place, 0, len(layout.Keys()))
@@ -234,14 +236,14 @@
 	return out
 }
 
-// HomesOf names the boxes to ask for a group: its home, and those that are
-// asked when it is silent.
+// HomesOf returns the boxes to ask for a group: its home, then those to ask if the home
+// does not answer.
 func (r *Router) HomesOf(key string) []string {
 	return r.ranks.Load().homes.Of(key, func() []string { return r.homesOf(key) })
 }
 
 func (r *Router) homesOf(key string) []string {
-	live, at := r.live.Load(), keyOf(r.layout.Load(), key)
+	live, at := r.live.Load(), rankKey(r.layout.Load(), key)
 	first := r.HomeOf(key)
 	if first == "" {
 		return live.StandIns(at, "", maxRank)
@@ -249,14 +251,14 @@
 	return append([]string{first}, live.StandIns(at, first, maxRank-1)...)
 }
 
-// HomeOf names the home of a group as this box sees it; empty is none.
+// HomeOf returns the home of a group as this box sees it, or "".
 func (r *Router) HomeOf(key string) string {
 	return (*r.homes.Load())[key]
 }
 
-// Tell sends a body to the named home. What asks for a plan, or takes one along, tells what
-// this box knows of the limits that the group's endpoints name; what asks for a plan, to which
-// of them this box may not send.
+// Tell sends a body to the given home. An ask and an adopted plan carry the limits that the
+// group's endpoints name, as far as this box knows them; an ask also carries the endpoints
+// that this box may not send to.
 func (r *Router) Tell(box, group string, body Body) ring.Outcome {
 	switch b := body.(type) {
 	case schedule.Ask:
@@ -274,7 +276,7 @@
 	return r.peers.SendCommand(box, c)
 }
 
-// limitsOf is what this box knows of the limits that a group's endpoints name.
+// limitsOf returns the limits that a group's endpoints name, as far as this box knows them.
 func (r *Router) limitsOf(key string) []schedule.EngineLimit {
 	if !r.notices.Any() {
 		return nil
@@ -286,8 +288,8 @@
 	return r.notices.Limits(g.Members, r.turn.Add(1))
 }
 
-// closedOf are the endpoints of a group that this box may not send to, and those of them
-// that leave.
+// closedOf returns the endpoints of a group that this box may not send to, and those of
+// them that are leaving.
 func (r *Router) closedOf(key string) (barred, leaving []string) {
 	closed := r.notices.Closed()
 	if len(closed) == 0 {
@@ -309,8 +311,8 @@
 	return barred, leaving
 }
 
-// RestOf is after how long this box may send to the first endpoint of a group that rests; 0
-// is that none does.
+// RestOf returns the time until this box may send to the first endpoint of a group that is
+// resting, or 0 if none is.
 func (r *Router) RestOf(key string) time.Duration {
 	g, ok := r.group(key)
 	if !ok {
@@ -319,7 +321,7 @@
 	return r.notices.LeastRest(g.Has)
 }
 
-// group finds a group by its key.
+// group returns the group with a key.
 func (r *Router) group(key string) (*table.Group, bool) {
 	groups := r.groups.Load()
 	if groups == nil {
@@ -328,7 +330,7 @@
 	return groups.Get(key)
 }
 
-// TellLimit tells the homes of an endpoint's groups of the limit that it names.
+// TellLimit sends the limit that an endpoint names to the homes of its groups.
 func (r *Router) TellLimit(l schedule.EngineLimit) {
 	groups := r.groups.Load()
 	if groups == nil {
@@ -340,28 +342,28 @@
 			continue
 		}
 		if box := r.HomeOf(key); box != "" {
-			// One that is lost goes with the next question.
+			// If it is lost, the next question carries the limit.
 			_ = r.Tell(box, key, Limits{Of: []schedule.EngineLimit{l}})
 		}
 	}
 }
 
-// Answer takes a decision to the box that asked.
+// Answer sends a decision to the box that asked.
 func (r *Router) Answer(box, group string, d schedule.Decision) {
 	if box == r.self {
-		r.here.Decide(r.self, group, d)
+		r.decisions.Decide(r.self, group, d)
 		return
 	}
-	// A decision that cannot be sent is asked for again by the other box.
+	// If the decision cannot be sent, the other box asks again.
 	_ = r.peers.SendDecision(box, group, d)
 }
 
 // Check asks a box which of its attempts are over.
 func (r *Router) Check(box, group, engine string, ids []lifecycle.AttemptID) {
 	if box == r.self {
-		r.here.Check(r.self, group, engine, ids)
+		r.decisions.Check(r.self, group, engine, ids)
 		return
 	}
-	// A question that is lost is asked again.
+	// If the question is lost, a later check asks again.
 	_ = r.peers.SendCheck(box, group, engine, ids)
 }
--- a/coordination/home/stages.go
+++ b/coordination/home/stages.go
@@ -15,33 +15,33 @@
 const (
 	// planEvery is how often the stages of a group are planned.
 	planEvery = time.Second
-	// changeTimes is for how many times the usual change an engine that was
-	// ordered is left out at most: an order without an answer may be carried out
+	// changeTimeFactor times the usual duration of a change is the longest that an engine
+	// with a pending order is left out: an order without an answer may be carried out
 	// seconds later.
-	changeTimes = 3
+	changeTimeFactor = 3
 )
 
-// StagePlan is what a home last planned for one of its groups.
+// StagePlan summarizes the last plan of a home for one of its groups.
 type StagePlan struct {
 	Group   string `json:"group"`
 	Engines int    `json:"engines"`
-	// Prefills are the engines that prefill, or are ordered to, and Wanted how many
-	// should.
+	// Prefills is the number of engines that prefill or have been ordered to, and Wanted
+	// how many should.
 	Prefills int `json:"prefills"`
 	Wanted   int `json:"wanted"`
-	// Changing are those that are away for a change.
+	// Changing is the number of engines that are unavailable because of a change.
 	Changing int `json:"changing"`
-	// MeanWork and PeakWork are the prompt work asked for, in engines: on average
+	// MeanWork and PeakWork are the prompt work that was asked for, in engines: on average,
 	// and in the busiest seconds of the last 20.
 	MeanWork float64 `json:"mean_work"`
 	PeakWork float64 `json:"peak_work"`
-	// Fill is how full the memory of the engines that decode is, 0 to 1.
+	// Fill is the used share of the memory of the engines that decode, 0 to 1.
 	Fill float64 `json:"fill"`
-	// ObservedMS is for how long the group has been observed here.
+	// ObservedMS is how long this box has observed the group, in milliseconds.
 	ObservedMS int64 `json:"observed_ms"`
 }
 
-// Plans are the last plans of this box's groups.
+// Plans returns the last plans of this box's groups.
 func (h *Homes) Plans() []StagePlan {
 	if p := h.plans.Load(); p != nil {
 		return *p
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// planOf sums up a plan for operators.
-func planOf(key string, engines []stages.Engine, load stages.Load, p stages.Plan) StagePlan {
+// summarizePlan returns the summary of a plan for operators.
+func summarizePlan(key string, engines []stages.Engine, load stages.Load, p stages.Plan) StagePlan {
 	out := StagePlan{
 		Group: key, Engines: len(engines), Wanted: p.Wanted,
 		MeanWork: load.Mean, PeakWork: load.Peak, Fill: load.Fill, ObservedMS: load.Seen.Milliseconds(),
@@ -66,7 +66,8 @@
 	return out
 }
 
-// planStages plans the stages of the groups that this box is home of.
+// planStages plans the stages of the groups that this box is home of, and orders the
+// changes.
 func (h *Homes) planStages(now time.Time) {
 	if h.cfg.Stages == nil || h.leaving.Load() {
 		return
@@ -79,7 +80,7 @@
 	defer func() { h.plans.Store(&plans) }()
 	for key, g := range h.groups {
 		if h.cfg.Answers.HomeOf(key) != h.cfg.Self {
-			// Its new home plans it.
+			// The new home plans it.
 			continue
 		}
 		s, _ := h.known.Table().Service(g.spec.Service)
@@ -88,27 +89,27 @@
 		}
 		engines, load := g.Stages(now)
 		p := stages.Make(engines, load, stages.Config{Part: part})
-		plan := planOf(key, engines, load, p)
+		plan := summarizePlan(key, engines, load, p)
 		plans = append(plans, plan)
 		if p.None() {
 			continue
 		}
 		h.logPlan(plan, p)
-		h.change(now, key, g, engines, p)
+		h.orderChanges(now, key, g, engines, p)
 	}
 }
 
-// changeTime is for how long an engine that changes is left out at most.
-func (h *Homes) changeTime(g *running) time.Duration {
+// maxChangeTime returns the longest time for which an engine that changes is left out.
+func (h *Homes) maxChangeTime(g *runningGroup) time.Duration {
 	s, _ := h.known.Table().Service(g.spec.Service)
 	if s.Engine == nil {
 		return 0
 	}
-	return changeTimes * time.Duration(s.Engine.SwitchMS) * time.Millisecond
+	return changeTimeFactor * time.Duration(s.Engine.SwitchMS) * time.Millisecond
 }
 
-// change has engines ordered to change, and leaves them out meanwhile.
-func (h *Homes) change(now time.Time, key string, g *running, engines []stages.Engine, p stages.Plan) {
+// orderChanges queues the orders of a plan, and leaves the engines out while they change.
+func (h *Homes) orderChanges(now time.Time, key string, g *runningGroup, engines []stages.Engine, p stages.Plan) {
 	c := StageChanges{Group: key, Wanted: p.Wanted, ToDecode: p.ToDecode, ToPrefill: p.ToPrefill}
 	for _, e := range engines {
 		if e.Prefill && !e.Changing {
@@ -116,15 +117,15 @@
 		}
 	}
 	if h.cfg.Stages.Offer(c) == ring.Full {
-		// It is planned again in a second.
+		// The next plan, a second later, repeats the order.
 		return
 	}
 	for _, name := range slices.Concat(p.ToDecode, p.ToPrefill) {
-		g.Change(now, name, h.changeTime(g))
+		g.Change(now, name, h.maxChangeTime(g))
 	}
 }
 
-// logPlan writes what changes were planned by.
+// logPlan logs a plan with the load that it is based on.
 func (h *Homes) logPlan(s StagePlan, p stages.Plan) {
 	h.cfg.Log.WithFields(log.Fields{
 		"group":             s.Group,
--- a/tests/mutants/cold.go
+++ b/tests/mutants/cold.go
@@ -120,15 +120,15 @@
 	},
 	{
 		name: "grants_of_an_ended_group_forgotten", file: "coordination/home/configure.go", pkg: homeTests, args: only("TestGrantsOfAGroupThatIsBack"),
-		old: "	cfg.Paced = h.cold.left\n", fault: "",
+		old: "	cfg.Paced = h.cold.endedGrants\n", fault: "",
 	},
 	{
 		name: "engines_of_other_groups_are_new", file: homeRouterFile, pkg: homeTests, args: only("TestHomeFor"),
-		old: "case !known && !ended && !cutAnew:", fault: "case !known && (true || ended) && !cutAnew:",
+		old: "case !known && !ended && !partsChanged:", fault: "case !known && (true || ended) && !partsChanged:",
 	},
 	{
 		name: "parts_of_a_zone_cut_anew_go_on", file: homeRouterFile, pkg: homeTests, args: only("TestHomeOfAZoneInOtherParts"),
-		old: "case own && !cutAnew:", fault: "case own:",
+		old: "case own && !partsChanged:", fault: "case own:",
 	},
 	{
 		name: "zone_taken_back_is_warm", file: "state/directory/drained.go", pkg: "./state/directory", args: only("TestZonesTakenBack"),
