--- a/coordination/stages/lease.go
+++ b/coordination/stages/lease.go
@@ -14,63 +14,65 @@
 	"runridge.example/runridge/state/position"
 )
 
-// held is a lease that this process has written: its revision, when the write was
-// sent, and from when on orders may be given under it.
-type held struct {
-	revision uint64
-	sent     time.Time
-	from     time.Time
+// heldLease is a lease that this process has written: its revision, when the write was sent, and
+// the time from which orders may be given under it.
+type heldLease struct {
+	revision   uint64
+	sentAt     time.Time
+	ordersFrom time.Time
 }
 
-// acquire writes the lease of an engine, and waits until orders may be given under
-// it. One that another process wrote before, if of this box, is waited out: all of
-// the other's orders are over then, and a whole lease's time beside, so that no two
-// holders take turns within that time.
-func (k *Keeper) acquire(ctx context.Context, engine string) (held, error) {
+// acquire writes the lease of an engine, and waits until orders may be given under it. If
+// another process, also an earlier one of this box, wrote the lease before, it waits until
+// all orders of that holder are over and a whole lease time has passed, so that no two
+// holders give orders within one lease time.
+func (k *Keeper) acquire(ctx context.Context, engine string) (heldLease, error) {
 	k.mutex.Lock()
 	known := k.held[engine]
 	k.mutex.Unlock()
-	h, err := k.write(ctx, engine, known.revision, known.from)
+	h, err := k.write(ctx, engine, known.revision, known.ordersFrom)
 	if errors.Is(err, adapter.ErrConflict) || errors.Is(err, adapter.ErrNotFound) {
 		h, err = k.takeOver(ctx, engine)
 	}
 	if err != nil {
-		return held{}, err
+		return heldLease{}, err
 	}
-	if wait := time.Until(h.from); wait > 0 {
+	if wait := time.Until(h.ordersFrom); wait > 0 {
 		sleep.For(ctx, wait)
-		// The window of the first write has passed meanwhile.
-		return k.write(ctx, engine, h.revision, h.from)
+		// The order window of the first write has passed meanwhile.
+		return k.write(ctx, engine, h.revision, h.ordersFrom)
 	}
 	return h, nil
 }
 
-// takeOver writes the lease in place of the one that stands.
-func (k *Keeper) takeOver(ctx context.Context, engine string) (held, error) {
+// takeOver replaces the lease of another holder, or creates the lease if there is none.
+func (k *Keeper) takeOver(ctx context.Context, engine string) (heldLease, error) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	found, err := k.cfg.Leases.Lease(call, engine)
 	if err != nil {
-		return held{}, err
+		return heldLease{}, err
 	}
 	if found.Revision == 0 {
 		return k.write(ctx, engine, 0, time.Time{})
 	}
 	wait := k.takeOverWait()
 	k.cfg.Log.WithFields(log.Fields{log.FieldEngine: engine, "held_by": found.Holder, "revision": found.Revision, "wait_ms": wait.Milliseconds()}).Info("stage_lease_taken")
-	// The wait counts from after the write: whoever held it cannot renew it then.
+	// The wait counts from before the write. The callTimeout in it covers the write, after
+	// which the previous holder cannot renew the lease.
 	return k.write(ctx, engine, found.Revision, time.Now().Add(wait))
 }
 
-// takeOverWait is how long after another's lease may have been written orders are given
-// under the next one.
+// takeOverWait returns the time from the last possible write of another's lease until
+// orders may be given under the next one.
 func (k *Keeper) takeOverWait() time.Duration {
-	r := k.current()
+	r := k.currentRules()
 	return 2*r.Lease + r.Thaw + callTimeout
 }
 
-// afterReturn is from when on orders may be given under a lease that was written now, where
-// the store may have lost another's. Zero is at once.
+// afterReturn returns the earliest time for orders under a lease that is written now, if
+// the platform's store came back from an older copy and may have lost another holder's
+// lease. Zero means at once.
 func (k *Keeper) afterReturn(now time.Time, revision uint64) time.Time {
 	if k.cfg.LatestReturn == nil {
 		return time.Time{}
@@ -86,21 +88,22 @@
 	}
 }
 
-// write writes a lease by compare-and-set.
-func (k *Keeper) write(ctx context.Context, engine string, revision uint64, from time.Time) (held, error) {
+// write writes a lease by compare-and-set and remembers it. Orders may be given from the
+// given time on, or later if the store has come back from an older copy.
+func (k *Keeper) write(ctx context.Context, engine string, revision uint64, from time.Time) (heldLease, error) {
 	k.mutex.Lock()
 	k.mark++
 	mark := k.mark
 	k.mutex.Unlock()
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	h := held{sent: time.Now(), from: from}
+	h := heldLease{sentAt: time.Now(), ordersFrom: from}
 	var err error
 	if h.revision, err = k.cfg.Leases.WriteLease(call, engine, k.cfg.Self, mark, revision); err != nil {
-		return held{}, err
+		return heldLease{}, err
 	}
-	if after := k.afterReturn(time.Now(), h.revision); after.After(h.from) {
-		h.from = after
+	if after := k.afterReturn(time.Now(), h.revision); after.After(h.ordersFrom) {
+		h.ordersFrom = after
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -108,15 +111,15 @@
 	return h, nil
 }
 
-// tidy removes the leases of engines that are remembered no more.
-func (k *Keeper) tidy(ctx context.Context) {
+// removeStale removes the leases of engines that are no longer known.
+func (k *Keeper) removeStale(ctx context.Context) {
 	k.mutex.Lock()
-	gone := make(map[string]held)
+	gone := make(map[string]heldLease)
 	for engine, h := range k.held {
 		if !k.cfg.Known(engine) {
 			gone[engine] = h
 			delete(k.held, engine)
-			delete(k.unsure, engine)
+			delete(k.unanswered, engine)
 		}
 	}
 	k.mutex.Unlock()
--- a/coordination/stages/order.go
+++ b/coordination/stages/order.go
@@ -14,15 +14,16 @@
 	"runridge.example/runridge/modules/log"
 )
 
-// change is one engine's.
+// change is a stage change of one engine.
 type change struct {
 	group, engine string
 	prefill       bool
 }
 
-// spare lists the engines that may be ordered to decode, by the word of all that
-// prefill. One that does not answer counts as none.
-func (k *Keeper) spare(ctx context.Context, c home.StageChanges) []string {
+// spareEngines returns the engines that may be ordered to decode, by the reports of all
+// engines that prefill. An engine that does not answer does not count as prefilling. The
+// home is notified of engines that have changed already or are not spare.
+func (k *Keeper) spareEngines(ctx context.Context, c home.StageChanges) []string {
 	if len(c.ToDecode) == 0 {
 		return nil
 	}
@@ -51,55 +52,56 @@
 		case len(out) < len(prefilling)-c.Wanted:
 			out = append(out, engine)
 		default:
-			k.refused(change{group: c.Group, engine: engine}, errNotSpare)
+			k.dropOrder(change{group: c.Group, engine: engine}, errNotSpare)
 		}
 	}
 	return out
 }
 
-// one gives one order, and tells the group if it does not come about.
-func (k *Keeper) one(ctx context.Context, c change) {
+// orderOne gives one order and logs and counts its outcome. It notifies the home if the
+// order is not given.
+func (k *Keeper) orderOne(ctx context.Context, c change) {
 	err := k.change(ctx, c)
 	fields := log.Fields{log.FieldEngine: c.engine, "group": c.group, "prefill": c.prefill}
 	switch {
 	case err == nil:
 		k.count(c, "ordered")
 		k.cfg.Log.WithFields(fields).Info("stage_ordered")
-	case errors.Is(err, errUnsure):
+	case errors.Is(err, errUnanswered):
 		k.count(c, "unanswered")
 		k.cfg.Log.WithFields(fields).WithError(err).Warn("stage_order_unanswered")
 	default:
-		k.refused(c, err)
+		k.dropOrder(c, err)
 	}
 }
 
-// refused tells the group that an engine is not ordered. A group that does not hear
-// it leaves the engine out for a while.
-func (k *Keeper) refused(c change, err error) {
+// dropOrder logs and counts an order that is not given, and notifies the home. A home that
+// misses the notification leaves the engine out for a while.
+func (k *Keeper) dropOrder(c change, err error) {
 	k.count(c, "dropped")
 	k.cfg.Log.WithFields(log.Fields{log.FieldEngine: c.engine, "group": c.group, "prefill": c.prefill}).WithError(err).Info("stage_order_dropped")
 	_ = k.cfg.Homes.Offer(home.Command{From: k.cfg.Self, Group: c.group, Body: home.StageRefused{Engine: c.engine}})
 }
 
-// Reasons for which no order is given.
+// Reasons why an order is not given, or not known to have been taken.
 var (
-	errLeft     = errors.New("the engine has left")
-	errBusy     = errors.New("the engine is changing, or an order to it is unanswered")
-	errTooLate  = errors.New("the lease has run out")
-	errNotSpare = errors.New("other engines of the group change already")
-	errUnsure   = errors.New("the order may be carried out")
+	errLeft       = errors.New("the engine has left")
+	errBusy       = errors.New("the engine is changing, or an order to it is unanswered")
+	errTooLate    = errors.New("the lease has expired")
+	errNotSpare   = errors.New("the engine is still needed for prefill")
+	errUnanswered = errors.New("no answer to the order, it may be carried out")
 )
 
-// change gives one order.
+// change orders one engine to change its stage, unless it is in that stage already.
 func (k *Keeper) change(ctx context.Context, c change) error {
 	e, ok := k.cfg.Find(c.engine)
 	if !ok {
 		return errLeft
 	}
-	if !k.begin(e.ID) {
+	if !k.beginOrder(e.ID) {
 		return errBusy
 	}
-	defer k.end(e.ID)
+	defer k.endOrder(e.ID)
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	report, err := k.cfg.Engines.Report(call, e)
 	cancel()
@@ -115,21 +117,22 @@
 	if err != nil {
 		return err
 	}
-	// A lease may have taken seconds, in which the engine's zone was drained.
+	// Acquiring a lease may take seconds, in which the engine's zone may have been drained.
 	if _, ok := k.cfg.Find(e.ID); !ok {
 		return errLeft
 	}
 	return k.order(ctx, e, held, Order{Prefill: c.prefill, Holder: k.cfg.Self, Fence: held.revision, Orders: report.Orders})
 }
 
-// order sends an order within the lease's window.
-func (k *Keeper) order(ctx context.Context, e Engine, held held, o Order) error {
-	window := time.Duration(windowShare * float64(k.current().Lease))
-	until := held.sent.Add(window)
+// order sends an order within the window of the lease. If the answer is lost, the engine
+// gets no further order for unansweredFor.
+func (k *Keeper) order(ctx context.Context, e Engine, held heldLease, o Order) error {
+	window := time.Duration(windowShare * float64(k.currentRules().Lease))
+	until := held.sentAt.Add(window)
 	if !time.Now().Before(until) {
 		return errTooLate
 	}
-	// Ending with the context resets the connection: nothing of the order is left
+	// When the context ends, the connection is reset, so that no part of the order is still
 	// on its way.
 	call, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
@@ -138,24 +141,25 @@
 		return err
 	}
 	k.mutex.Lock()
-	k.unsure[e.ID] = time.Now().Add(unsureFor)
+	k.unanswered[e.ID] = time.Now().Add(unansweredFor)
 	k.mutex.Unlock()
-	return errors.Join(errUnsure, err)
+	return errors.Join(errUnanswered, err)
 }
 
-// begin says whether an order to an engine may begin. One at a time keeps a box's
-// own fencing tokens in order.
-func (k *Keeper) begin(engine string) bool {
+// beginOrder reports whether an order to an engine may begin, and marks it as begun. One
+// order at a time keeps a box's own fencing tokens in order.
+func (k *Keeper) beginOrder(engine string) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if k.ordering[engine] || time.Now().Before(k.unsure[engine]) {
+	if k.ordering[engine] || time.Now().Before(k.unanswered[engine]) {
 		return false
 	}
 	k.ordering[engine] = true
 	return true
 }
 
-func (k *Keeper) end(engine string) {
+// endOrder marks the order to an engine as finished.
+func (k *Keeper) endOrder(engine string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	delete(k.ordering, engine)
--- a/coordination/stages/stages_test.go
+++ b/coordination/stages/stages_test.go
@@ -33,44 +33,45 @@
 	rules   = Rules{Planned: true, Lease: 3 * time.Second, Thaw: 300 * time.Millisecond}
 )
 
-// arrived is an order that reached the engine.
-type arrived struct {
+// arrivedOrder is an order that reached the engine.
+type arrivedOrder struct {
 	at     time.Time
 	holder string
 	fence  uint64
 }
 
-// world is one engine and a store, with faults that a test draws.
-type world struct {
-	mutex sync.Mutex
-	luck  *rand.Rand
-	// revision is the store's last, in its era; all boxes learn of that era at returned.
+// simulation is one engine and a store, with random faults.
+type simulation struct {
+	mutex  sync.Mutex
+	random *rand.Rand
+	// revision is the store's last one, in its era; all boxes learn of that era at
+	// returned.
 	revision uint64
 	era      uint64
 	returned time.Time
 	lease    Lease
-	// away says that the store answers nobody.
-	away bool
-	// storeLoses and engineLoses are the chances that an answer is lost, and slow
+	// storeDown reports that the store answers nobody.
+	storeDown bool
+	// storeLoss and engineLoss are the probabilities that an answer is lost, and maxDelay
 	// the longest time that a call takes.
-	storeLoses, engineLoses float64
-	slow                    time.Duration
+	storeLoss, engineLoss float64
+	maxDelay              time.Duration
 
 	prefill bool
 	orders  uint64
-	arrived []arrived
-	// runs counts the orders that were carried out.
+	arrived []arrivedOrder
+	// runs is the number of orders that were carried out.
 	runs int
-	// told is what the home was told.
-	told []home.Body
-	// busy says that the engine reports an order under way.
+	// received are the bodies that the home received.
+	received []home.Body
+	// busy makes the engine report an order in progress.
 	busy bool
 }
 
-// delay is the way of a call; false means that the context ended first.
-func (w *world) delay(ctx context.Context) bool {
+// delay waits for a random delay; false means that the context ended first.
+func (w *simulation) delay(ctx context.Context) bool {
 	w.mutex.Lock()
-	d := time.Duration(w.luck.Int64N(int64(w.slow) + 1))
+	d := time.Duration(w.random.Int64N(int64(w.maxDelay) + 1))
 	w.mutex.Unlock()
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -82,19 +83,19 @@
 	}
 }
 
-func (w *world) chance(p float64) bool {
+func (w *simulation) chance(p float64) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.luck.Float64() < p
+	return w.random.Float64() < p
 }
 
-func (w *world) Lease(ctx context.Context, _ string) (Lease, error) {
+func (w *simulation) Lease(ctx context.Context, _ string) (Lease, error) {
 	if !w.delay(ctx) {
 		return Lease{}, errLost
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.away {
+	if w.storeDown {
 		return Lease{}, errLost
 	}
 	if w.lease.Revision == 0 {
@@ -103,19 +104,19 @@
 	return Lease{Revision: position.Of(w.era, w.lease.Revision), Holder: w.lease.Holder}, nil
 }
 
-// returnOlder takes the store away, and has it come back a while later as it was.
-func (w *world) returnOlder(away, noticed time.Duration) {
+// restoreCopy takes the store down and brings it back with the contents of an older copy.
+func (w *simulation) restoreCopy(away, noticed time.Duration) {
 	w.mutex.Lock()
 	revision, lease := w.revision, w.lease
 	w.mutex.Unlock()
 	// What is written in this time is lost.
 	time.Sleep(lostTime)
 	w.mutex.Lock()
-	w.away = true
+	w.storeDown = true
 	w.mutex.Unlock()
 	time.Sleep(away)
 	w.mutex.Lock()
-	w.away = false
+	w.storeDown = false
 	w.era++
 	w.revision, w.lease = revision, lease
 	w.mutex.Unlock()
@@ -125,11 +126,11 @@
 	w.mutex.Unlock()
 }
 
-// lostTime is how old the copy is.
+// lostTime is the age of the copy.
 const lostTime = 4 * time.Second
 
-// latestReturn is what all boxes know of returns of the store.
-func (w *world) latestReturn() (era uint64, at time.Time) {
+// latestReturn returns what all boxes know of the store's last return from an older copy.
+func (w *simulation) latestReturn() (era uint64, at time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.returned.IsZero() {
@@ -138,14 +139,14 @@
 	return w.era, w.returned
 }
 
-// WriteLease may be done long after its caller has gone.
-func (w *world) WriteLease(ctx context.Context, _, holder string, _, revision uint64) (uint64, error) {
+// WriteLease may take effect long after its caller has given up.
+func (w *simulation) WriteLease(ctx context.Context, _, holder string, _, revision uint64) (uint64, error) {
 	done := w.delay(ctx)
 	if !done && w.chance(0.5) {
 		return 0, errLost
 	}
 	w.mutex.Lock()
-	if w.away {
+	if w.storeDown {
 		w.mutex.Unlock()
 		return 0, errLost
 	}
@@ -157,15 +158,15 @@
 	written := position.Of(w.era, w.revision)
 	w.lease = Lease{Revision: w.revision, Holder: holder}
 	w.mutex.Unlock()
-	if !done || w.chance(w.storeLoses) {
+	if !done || w.chance(w.storeLoss) {
 		return 0, errLost
 	}
 	return written, nil
 }
 
-func (w *world) EndLease(context.Context, string, uint64) error { return nil }
+func (w *simulation) EndLease(context.Context, string, uint64) error { return nil }
 
-func (w *world) Report(ctx context.Context, _ Engine) (Report, error) {
+func (w *simulation) Report(ctx context.Context, _ Engine) (Report, error) {
 	if !w.delay(ctx) {
 		return Report{}, errLost
 	}
@@ -174,17 +175,17 @@
 	return Report{Prefill: w.prefill, Orders: w.orders, Changing: w.busy}, nil
 }
 
-// Order arrives, and may be carried out only seconds later.
-func (w *world) Order(ctx context.Context, _ Engine, o Order) error {
+// Order delivers an order, which may be carried out only seconds later.
+func (w *simulation) Order(ctx context.Context, _ Engine, o Order) error {
 	if !w.delay(ctx) {
 		return errLost
 	}
 	w.mutex.Lock()
-	w.arrived = append(w.arrived, arrived{time.Now(), o.Holder, o.Fence})
+	w.arrived = append(w.arrived, arrivedOrder{time.Now(), o.Holder, o.Fence})
 	w.mutex.Unlock()
-	if w.chance(w.engineLoses) {
+	if w.chance(w.engineLoss) {
 		w.mutex.Lock()
-		late := time.Duration(w.luck.Int64N(int64(12 * time.Second)))
+		late := time.Duration(w.random.Int64N(int64(12 * time.Second)))
 		w.mutex.Unlock()
 		time.AfterFunc(late, func() { _ = w.carryOut(o) })
 		return errLost
@@ -192,7 +193,7 @@
 	return w.carryOut(o)
 }
 
-func (w *world) carryOut(o Order) error {
+func (w *simulation) carryOut(o Order) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if o.Orders != w.orders {
@@ -204,14 +205,14 @@
 	return nil
 }
 
-func (w *world) Offer(c home.Command) ring.Outcome {
+func (w *simulation) Offer(c home.Command) ring.Outcome {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.told = append(w.told, c.Body)
+	w.received = append(w.received, c.Body)
 	return ring.Accepted
 }
 
-func (w *world) keeper(name string) *Keeper {
+func (w *simulation) keeper(name string) *Keeper {
 	return New(Config{
 		Self: name, Leases: w, Engines: w, Homes: w, Rules: rules, Log: log.Discard(),
 		Find:  func(id string) (Engine, bool) { return Engine{ID: id}, true },
@@ -221,9 +222,9 @@
 	})
 }
 
-// check holds the orders that arrived against the rules: fences never fall, each is
-// one holder's, and no two holders take turns within a lease.
-func (w *world) check() string {
+// check reports a violation of the rules by the orders that arrived: fences never decrease,
+// each belongs to one holder, and no two holders give orders within one lease time.
+func (w *simulation) check() string {
 	holders := make(map[uint64]string)
 	for i, a := range w.arrived {
 		if h, known := holders[a.fence]; known && h != a.holder {
@@ -235,17 +236,17 @@
 		}
 		before := w.arrived[i-1]
 		if a.fence < before.fence {
-			return fmt.Sprintf("fence %d of %s came after %d of %s", a.fence, a.holder, before.fence, before.holder)
+			return fmt.Sprintf("fence %d of %s followed %d of %s", a.fence, a.holder, before.fence, before.holder)
 		}
 		if a.holder != before.holder && a.at.Sub(before.at) < rules.Lease {
-			return fmt.Sprintf("%s and %s took turns within %v", before.holder, a.holder, a.at.Sub(before.at))
+			return fmt.Sprintf("%s and %s both gave orders within %v", before.holder, a.holder, a.at.Sub(before.at))
 		}
 	}
 	return ""
 }
 
-// TestOracleHolders drives three boxes that want to order one engine to and fro, over
-// a store and links that are slow, lose answers and do writes late; the store may come back
+// TestOracleHolders lets three boxes order one engine back and forth, over a store and
+// links that are slow, lose answers and apply writes late. The store may also come back
 // from an older copy.
 func TestOracleHolders(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
@@ -271,7 +272,7 @@
 		failure := ""
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			w := &world{luck: rand.New(rand.NewPCG(luck, 1)), storeLoses: storeLoses, engineLoses: engineLoses, slow: slow, prefill: true}
+			w := &simulation{random: rand.New(rand.NewPCG(luck, 1)), storeLoss: storeLoses, engineLoss: engineLoses, maxDelay: slow, prefill: true}
 			var keepers []*Keeper
 			for i := range 3 {
 				k := w.keeper(fmt.Sprint("box-", i))
@@ -288,7 +289,7 @@
 				})
 			}
 			if copied >= 0 {
-				time.AfterFunc(copied, func() { w.returnOlder(away, noticed) })
+				time.AfterFunc(copied, func() { w.restoreCopy(away, noticed) })
 			}
 			time.Sleep(2 * time.Minute)
 			cancel()
@@ -303,19 +304,20 @@
 	})
 }
 
-// fresh runs a test on a world without faults.
-func fresh(t *testing.T, body func(ctx context.Context, w *world)) {
+// withoutFaults runs a test on a simulation without faults.
+func withoutFaults(t *testing.T, body func(ctx context.Context, w *simulation)) {
 	synctest.Test(t, func(t *testing.T) {
-		body(t.Context(), &world{luck: rand.New(rand.NewPCG(1, 1)), prefill: true})
+		body(t.Context(), &simulation{random: rand.New(rand.NewPCG(1, 1)), prefill: true})
 	})
 }
 
-// TestLeaseThatTheStoreHasLost has one box order an engine under a lease that the store then
-// loses, and another one want to order it at once.
+// TestLeaseThatTheStoreHasLost guards against two holders within one lease time: one box
+// orders an engine under a lease that the store then loses, and another box orders it at
+// once.
 func TestLeaseThatTheStoreHasLost(t *testing.T) {
 	cases := map[string]struct {
-		// known says that the second box has learnt of the return by other calls, and held that it
-		// had a lease of its own before.
+		// known means that the second box has learned of the return from other calls, and
+		// held that it had a lease of its own before.
 		known, held bool
 	}{
 		"nothing is known of the return": {},
@@ -324,7 +326,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			fresh(t, func(ctx context.Context, w *world) {
+			withoutFaults(t, func(ctx context.Context, w *simulation) {
 				first, second := w.keeper("a"), w.keeper("b")
 				if c.held {
 					if _, err := second.acquire(ctx, "e"); err != nil {
@@ -332,12 +334,12 @@
 					}
 				}
 				copied, lease := w.revision, w.lease
-				first.one(ctx, change{engine: "e"})
+				first.orderOne(ctx, change{engine: "e"})
 				w.revision, w.lease, w.era = copied, lease, 1
 				if c.known {
 					w.returned = time.Now()
 				}
-				second.one(ctx, change{engine: "e", prefill: true})
+				second.orderOne(ctx, change{engine: "e", prefill: true})
 				if len(w.arrived) != 2 {
 					t.Fatalf("%d orders arrived, want that of each", len(w.arrived))
 				}
@@ -349,10 +351,10 @@
 	}
 }
 
-// TestEngineThatLeavesBeforeItsOrder has an engine's zone drained while its lease is
-// written.
+// TestEngineThatLeavesBeforeItsOrder checks that no order is sent if the engine's zone is
+// drained while its lease is being written.
 func TestEngineThatLeavesBeforeItsOrder(t *testing.T) {
-	fresh(t, func(ctx context.Context, w *world) {
+	withoutFaults(t, func(ctx context.Context, w *simulation) {
 		k := w.keeper("a")
 		looks := 0
 		k.cfg.Find = func(id string) (Engine, bool) {
@@ -365,31 +367,31 @@
 	})
 }
 
-// TestEnginesOfAnEarlierHome holds that engines which an earlier home has ordered
-// count as changed: a home that does not know of it left a group without any that
-// prefill.
+// TestEnginesOfAnEarlierHome checks that engines which an earlier home has ordered count as
+// changed. A home that did not know of those orders once left a group without any engine
+// that prefills.
 func TestEnginesOfAnEarlierHome(t *testing.T) {
 	cases := map[string]struct {
 		busy, prefill bool
 		wanted        int
 		orders        int
-		told          home.Body
+		received      home.Body
 	}{
 		"one is spare":           {prefill: true, wanted: 0, orders: 1},
-		"none is spare":          {prefill: true, wanted: 1, told: home.StageRefused{Engine: "e"}},
-		"it is changing":         {prefill: true, busy: true, told: home.StageChanging{Engine: "e"}},
-		"it has changed already": {told: home.StageChanging{Engine: "e"}},
+		"none is spare":          {prefill: true, wanted: 1, received: home.StageRefused{Engine: "e"}},
+		"it is changing":         {prefill: true, busy: true, received: home.StageChanging{Engine: "e"}},
+		"it has changed already": {received: home.StageChanging{Engine: "e"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			fresh(t, func(ctx context.Context, w *world) {
+			withoutFaults(t, func(ctx context.Context, w *simulation) {
 				w.prefill, w.busy = c.prefill, c.busy
 				w.keeper("a").carryOut(ctx, home.StageChanges{Group: "g", Prefills: []string{"e"}, Wanted: c.wanted, ToDecode: []string{"e"}})
 				if len(w.arrived) != c.orders {
 					t.Errorf("%d orders, want %d", len(w.arrived), c.orders)
 				}
-				if c.told != nil && (len(w.told) == 0 || w.told[0] != c.told) {
-					t.Errorf("the home was told %v, want %v", w.told, c.told)
+				if c.received != nil && (len(w.received) == 0 || w.received[0] != c.received) {
+					t.Errorf("the home received %v, want %v", w.received, c.received)
 				}
 			})
 		})
@@ -399,7 +401,7 @@
 func TestOrders(t *testing.T) {
 	toDecode := change{engine: "e"}
 	t.Run("an engine that nobody ordered changes at once", func(t *testing.T) {
-		fresh(t, func(ctx context.Context, w *world) {
+		withoutFaults(t, func(ctx context.Context, w *simulation) {
 			begin := time.Now()
 			if err := w.keeper("a").change(ctx, toDecode); err != nil || w.prefill {
 				t.Errorf("prefill %v, error %v", w.prefill, err)
@@ -409,8 +411,8 @@
 			}
 		})
 	})
-	t.Run("one that another box ordered is waited for", func(t *testing.T) {
-		fresh(t, func(ctx context.Context, w *world) {
+	t.Run("an engine that another box ordered changes after a wait", func(t *testing.T) {
+		withoutFaults(t, func(ctx context.Context, w *simulation) {
 			if err := w.keeper("a").change(ctx, toDecode); err != nil {
 				t.Error(err)
 			}
@@ -423,31 +425,31 @@
 			}
 		})
 	})
-	t.Run("one that has the stage is left alone", func(t *testing.T) {
-		fresh(t, func(ctx context.Context, w *world) {
+	t.Run("an engine that has the stage gets no order", func(t *testing.T) {
+		withoutFaults(t, func(ctx context.Context, w *simulation) {
 			if err := w.keeper("a").change(ctx, change{engine: "e", prefill: true}); err != nil || len(w.arrived) > 0 {
 				t.Errorf("orders %d, error %v", len(w.arrived), err)
 			}
 		})
 	})
 	t.Run("after a lost answer nothing more is ordered for a while", func(t *testing.T) {
-		fresh(t, func(ctx context.Context, w *world) {
-			w.engineLoses = 1
+		withoutFaults(t, func(ctx context.Context, w *simulation) {
+			w.engineLoss = 1
 			k := w.keeper("a")
-			if err := k.change(ctx, toDecode); !errors.Is(err, errUnsure) {
+			if err := k.change(ctx, toDecode); !errors.Is(err, errUnanswered) {
 				t.Errorf("error %v", err)
 			}
 			if err := k.change(ctx, toDecode); !errors.Is(err, errBusy) {
 				t.Errorf("second order: %v", err)
 			}
-			time.Sleep(unsureFor)
+			time.Sleep(unansweredFor)
 			if err := k.change(ctx, toDecode); err != nil || w.runs != 1 {
 				t.Errorf("after the order was carried out late: %v, %d carried out", err, w.runs)
 			}
 		})
 	})
-	t.Run("a box that stood still between its lease and its order gives none", func(t *testing.T) {
-		fresh(t, func(ctx context.Context, w *world) {
+	t.Run("a box that was paused between its lease and its order gives none", func(t *testing.T) {
+		withoutFaults(t, func(ctx context.Context, w *simulation) {
 			k := w.keeper("a")
 			h, err := k.acquire(ctx, "e")
 			if err != nil {
@@ -459,17 +461,17 @@
 			}
 		})
 	})
-	t.Run("a lease that was taken without an answer is waited out all the same", func(t *testing.T) {
-		fresh(t, func(ctx context.Context, w *world) {
+	t.Run("a lease whose write got no answer does not shorten the wait", func(t *testing.T) {
+		withoutFaults(t, func(ctx context.Context, w *simulation) {
 			if err := w.keeper("a").change(ctx, toDecode); err != nil {
 				t.Error(err)
 			}
 			b, back := w.keeper("b"), change{engine: "e", prefill: true}
-			w.storeLoses = 1
+			w.storeLoss = 1
 			if err := b.change(ctx, back); !errors.Is(err, errLost) {
 				t.Errorf("error %v", err)
 			}
-			w.storeLoses = 0
+			w.storeLoss = 0
 			if err := b.change(ctx, back); err != nil {
 				t.Error(err)
 			}
@@ -478,8 +480,8 @@
 			}
 		})
 	})
-	t.Run("a box that starts again waits its own earlier lease out", func(t *testing.T) {
-		fresh(t, func(ctx context.Context, w *world) {
+	t.Run("a box that restarts waits for its own earlier lease to expire", func(t *testing.T) {
+		withoutFaults(t, func(ctx context.Context, w *simulation) {
 			if err := w.keeper("a").change(ctx, toDecode); err != nil {
 				t.Error(err)
 			}
--- a/tests/mutants/accounts.go
+++ b/tests/mutants/accounts.go
@@ -29,7 +29,7 @@
 	},
 	{
 		name: "order_again_after_a_lost_answer", file: orderFile, pkg: stagesTests, args: only("TestOrders"),
-		old: "k.unsure[e.ID] = time.Now().Add(unsureFor)", fault: "k.unsure[e.ID] = time.Now().Add(0 * unsureFor)",
+		old: "k.unanswered[e.ID] = time.Now().Add(unansweredFor)", fault: "k.unanswered[e.ID] = time.Now().Add(0 * unansweredFor)",
 	},
 	{
 		name: "two_orders_at_a_time", file: orderFile, pkg: stagesTests, args: manyCases("TestOracleHolders"),
--- a/tests/mutants/older.go
+++ b/tests/mutants/older.go
@@ -27,7 +27,7 @@
 	},
 	{
 		name: "lease_that_may_be_lost_not_waited_out", file: leaseFile, pkg: stagesTests, args: only("TestLeaseThatTheStoreHasLost"),
-		old: "after.After(h.from) {", fault: "after.After(h.from) && false {",
+		old: "after.After(h.ordersFrom) {", fault: "after.After(h.ordersFrom) && false {",
 	},
 	{
 		name: "lost_entries_count_as_ended", file: "coordination/member/listed.go", pkg: "./coordination/member", args: only("TestBoxesThatAnOlderListLacks"),
