--- a/coordination/quota/admit.go
+++ b/coordination/quota/admit.go
@@ -13,28 +13,28 @@
 	"runridge.example/runridge/state/quota"
 )
 
-// Times of the asks.
+// Timing and bounds of the questions to homes.
 const (
-	// answerPatience is how long a home may be silent before the second in rank
-	// is asked. A message and its answer take 1 ms between zones and some 10 ms
-	// on a box with a fifth of a core under load.
-	answerPatience = 80 * time.Millisecond
-	// againPause is the wait before a box is asked again that was not the home,
-	// or is finding out.
-	againPause = 20 * time.Millisecond
-	// probeEvery is how often a silent home is asked whether it is back.
-	probeEvery = 500 * time.Millisecond
-	// askFor bounds the asks for one request: one that is not answered, the second in
-	// rank finding out for as long, and its word. Requests were held for up to 0.5 s
-	// without it, where their target is 0.3.
-	askFor = 2*answerPatience + 4*againPause
-	// maxAsks bounds the messages of one request.
+	// answerTimeout is how long a home may stay silent before the second in rank is asked.
+	// A message and its answer take 1 ms between zones, and some 10 ms on a box with a
+	// fifth of a core under load.
+	answerTimeout = 80 * time.Millisecond
+	// askBackoff is the backoff before the next question when the box that was asked is not
+	// the home or is still checking.
+	askBackoff = 20 * time.Millisecond
+	// probeInterval is how often a silent home is probed.
+	probeInterval = 500 * time.Millisecond
+	// maxAskTime bounds the time of all questions for one request: one question without an
+	// answer, the same time for the second in rank to check the home, and its answer.
+	// Without this bound requests waited up to 0.5 s, where their target is 0.3 s.
+	maxAskTime = 2*answerTimeout + 4*askBackoff
+	// maxAsks bounds the messages for one request.
 	maxAsks = 8
-	// maxPurses is how many purses are kept before idle ones are dropped.
+	// maxPurses is the number of purses above which idle ones are dropped.
 	maxPurses = 256
 )
 
-// Use is what one request wants of its account's quota.
+// Use is the quota that one request needs from its account.
 type Use struct {
 	ID      lifecycle.RequestID
 	Account string
@@ -44,19 +44,20 @@
 	Wait, Patience time.Duration
 }
 
-// Verdict is the word on a use.
+// Verdict is the decision on a Use.
 type Verdict struct {
 	Outcome Outcome
-	// From is where it was decided: a box, or empty for this box's purse.
+	// From is the box that decided or was asked last; empty means this box's purse.
 	From string
-	// Ask is the last question that was asked.
+	// Ask is the ID of the last question that was sent.
 	Ask lifecycle.AttemptID
 	quota.Decision
 }
 
-// Admit takes a request's cost from the purse, or asks the account's home.
+// Admit takes a request's cost from the account's purse, and asks the account's home for
+// what is missing.
 func (k *Keeper) Admit(ctx context.Context, u Use) Verdict {
-	begun, lacks, more := k.spend(u)
+	begun, lacks, more := k.takeFromPurse(u)
 	if lacks <= 0 {
 		return Verdict{Outcome: Admitted, Decision: quota.Decision{Admitted: true}}
 	}
@@ -69,21 +70,21 @@
 	return v
 }
 
-// putBack returns to a purse what was taken out of it for a refused request.
+// putBack returns to a purse what was taken for a request that was refused.
 func (k *Keeper) putBack(account string, units float64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.purses[account] = k.purses[account].WithReturned(k.uptime(), units)
 }
 
-// GiveBack returns the cost of a request that reached no endpoint.
+// GiveBack returns to the purse the cost of a request that reached no endpoint.
 func (k *Keeper) GiveBack(account string, cost float64) {
 	k.lend(account, k.uptime(), cost)
 }
 
-// spend takes what the purse has of a cost, and returns what it lacks and how much
-// to ask for ahead of need.
-func (k *Keeper) spend(u Use) (now time.Duration, lacks, more float64) {
+// takeFromPurse takes as much of a cost as the purse has. It returns the current uptime, the
+// missing part, and how much to borrow ahead of need.
+func (k *Keeper) takeFromPurse(u Use) (now time.Duration, lacks, more float64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now = k.uptime()
@@ -97,7 +98,7 @@
 	return now, lacks, p.Ahead(now, life)
 }
 
-// dropIdle drops the purses that nobody has used for a while. The mutex is held.
+// dropIdle drops the purses that have been idle for a while. The caller holds the mutex.
 func (k *Keeper) dropIdle(now, life time.Duration) {
 	for name, p := range k.purses {
 		if p.Idle(now, life) {
@@ -106,23 +107,24 @@
 	}
 }
 
-// lend puts units into the purse of an account, as of when they were asked for.
+// lend adds units to the purse of an account, as of the time at which they were asked for.
 func (k *Keeper) lend(account string, asked time.Duration, units float64) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.purses[account] = k.purses[account].WithLent(asked, units, k.cfg.Bound.LoanLife())
 }
 
-// askHomes asks the account's home, and the second in rank when it is silent.
+// askHomes asks the account's home, or the second in rank while the home is silent, until
+// one of them decides or maxAskTime has passed.
 func (k *Keeper) askHomes(ctx context.Context, u Use, need quota.Need) Verdict {
 	v := Verdict{Outcome: Unanswered}
-	ctx, cancel := context.WithTimeout(ctx, askFor)
+	ctx, cancel := context.WithTimeout(ctx, maxAskTime)
 	defer cancel()
 	for number := uint32(1); number <= maxAsks && ctx.Err() == nil; number++ {
 		v.Ask = lifecycle.AttemptID{Request: u.ID, Number: number}
 		v.From = k.choose(u.Account)
 		if v.From == "" {
-			sleep.For(ctx, againPause)
+			sleep.For(ctx, askBackoff)
 			continue
 		}
 		a, answered := k.ask(ctx, v.From, Ask{ID: v.Ask, Account: u.Account, Need: need})
@@ -132,14 +134,15 @@
 			v.Outcome, v.Decision = a.Outcome, a.Decision
 			return v
 		default:
-			sleep.For(ctx, againPause)
+			sleep.For(ctx, askBackoff)
 		}
 	}
 	return v
 }
 
-// choose is the box to ask about an account: its home, or the second in rank
-// while the home is silent. A silent one is asked now and then whether it is back.
+// choose returns the box to ask about an account: its home, or the second in rank while the
+// home is silent. It probes a silent home every probeInterval. It returns "" if no box is
+// known.
 func (k *Keeper) choose(account string) string {
 	ranked := k.cfg.Ranked(account)
 	if len(ranked) == 0 {
@@ -154,14 +157,14 @@
 	if !k.silent(home) {
 		return home
 	}
-	if k.uptime()-k.unanswered[home] >= probeEvery {
-		k.unanswered[home] = k.uptime() - answerPatience
+	if k.uptime()-k.unanswered[home] >= probeInterval {
+		k.unanswered[home] = k.uptime() - answerTimeout
 		_ = k.cfg.Peers.SendAsk(home, Ask{ID: probeID(k.cfg.Self), Account: account})
 	}
 	return ranked[1]
 }
 
-// ask asks one box and waits for its answer; false is none in time.
+// ask asks one box and waits for its answer; false means that none came in time.
 func (k *Keeper) ask(ctx context.Context, to string, a Ask) (Answer, bool) {
 	if to == k.cfg.Self {
 		return k.decide(to, a), true
@@ -179,9 +182,9 @@
 		delete(k.waiting, a.ID)
 		k.mutex.Unlock()
 	}()
-	patience := answerPatience
+	patience := answerTimeout
 	if !sent {
-		patience = againPause
+		patience = askBackoff
 	}
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
@@ -195,8 +198,8 @@
 	}
 }
 
-// Answered takes an answer from another box. One that nobody waits for any more
-// shows that the box can be reached; what it lends ends unused.
+// Answered receives an answer from another box. An answer that is no longer waited for
+// still shows that the box can be reached; the units that it lends expire unused.
 func (k *Keeper) Answered(from string, a Answer) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
--- a/coordination/quota/fleet_test.go
+++ b/coordination/quota/fleet_test.go
@@ -28,11 +28,12 @@
 	os.Exit(seed.Run(m, 60))
 }
 
-// world is a fleet of keepers with a network and a view of it that lags.
-type world struct {
+// simFleet is a fleet of keepers on a simulated network, whose views of the fleet lag
+// behind.
+type simFleet struct {
 	bound quota.Bound
 	limit table.Quota
-	// lag is how long after a change of the network the views follow.
+	// lag is the delay from a change of the network to the change of the views.
 	lag time.Duration
 
 	mutex sync.Mutex
@@ -40,20 +41,20 @@
 	uses  []use
 }
 
-// use is what reached an endpoint.
+// use is the cost of a request that reached an endpoint.
 type use struct {
 	at   time.Time
 	cost float64
 }
 
-// simBox is one box of a world.
+// simBox is one box of a simulated fleet.
 type simBox struct {
-	w      *world
+	w      *simFleet
 	name   string
 	keeper *Keeper
 	down   bool
-	// side is the part of the network that the box is in, and seen that of all
-	// boxes as this box's view has it.
+	// side is the partition of the network that the box is in, and view the boxes that it
+	// sees.
 	side     int
 	view     []string
 	sequence uint64
@@ -64,8 +65,8 @@
 // messageTime is how long a message between boxes takes.
 const messageTime = time.Millisecond
 
-func newWorld(boxes int, limit table.Quota, bound quota.Bound, lag time.Duration) *world {
-	w := &world{bound: bound, limit: limit, lag: lag}
+func newWorld(boxes int, limit table.Quota, bound quota.Bound, lag time.Duration) *simFleet {
+	w := &simFleet{bound: bound, limit: limit, lag: lag}
 	for i := range boxes {
 		w.boxes = append(w.boxes, &simBox{w: w, name: fmt.Sprintf("box-%d", i)})
 	}
@@ -76,7 +77,7 @@
 	return w
 }
 
-// start gives the box a new process.
+// start starts a new process of the box.
 func (b *simBox) start() {
 	b.keeper = New(Config{
 		Self: b.name, Peers: b, Bound: b.w.bound, Log: log.Discard(),
@@ -86,15 +87,15 @@
 	b.keeper.SetTable(table.Table{Accounts: []table.Account{{Name: account, Quota: &b.w.limit}}})
 }
 
-// seen are the live boxes in the account's rank, by this box's view.
+// seen returns the live boxes in the account's rank, as this box sees them.
 func (b *simBox) seen() []string {
 	b.w.mutex.Lock()
 	defer b.w.mutex.Unlock()
 	return b.view
 }
 
-// reachable are the boxes that live on the side of one, in rank.
-func (w *world) reachable(b *simBox) []string {
+// reachable returns the live boxes in the same partition as b, in rank order.
+func (w *simFleet) reachable(b *simBox) []string {
 	var out []string
 	for _, o := range w.boxes {
 		if o == b || !o.down && o.side == b.side {
@@ -105,8 +106,8 @@
 	return out
 }
 
-// settle brings all views up to date after the lag.
-func (w *world) settle() {
+// updateViews updates all views after the lag.
+func (w *simFleet) updateViews() {
 	time.AfterFunc(w.lag, func() {
 		w.mutex.Lock()
 		for _, b := range w.boxes {
@@ -120,8 +121,8 @@
 	})
 }
 
-// keepers are those of all boxes. The mutex is held.
-func (w *world) keepers() []*Keeper {
+// keepers returns the keepers of all boxes. The caller holds the mutex.
+func (w *simFleet) keepers() []*Keeper {
 	out := make([]*Keeper, 0, len(w.boxes))
 	for _, b := range w.boxes {
 		out = append(out, b.keeper)
@@ -129,8 +130,8 @@
 	return out
 }
 
-// carry has a message delivered after its time, unless the way is cut.
-func (b *simBox) carry(to string, deliver func(o *simBox, k *Keeper)) {
+// send delivers a message after messageTime, unless the sender cannot reach the receiver.
+func (b *simBox) send(to string, deliver func(o *simBox, k *Keeper)) {
 	time.AfterFunc(messageTime, func() {
 		b.w.mutex.Lock()
 		var target *simBox
@@ -150,18 +151,18 @@
 	})
 }
 
-// SendAsk is the network's.
+// SendAsk sends a question over the simulated network.
 func (b *simBox) SendAsk(to string, a Ask) ring.Outcome {
-	b.carry(to, func(_ *simBox, k *Keeper) { k.Receive(b.name, a) })
+	b.send(to, func(_ *simBox, k *Keeper) { k.Receive(b.name, a) })
 	return ring.Accepted
 }
 
-// SendAnswer is the network's.
+// SendAnswer sends an answer over the simulated network.
 func (b *simBox) SendAnswer(to string, a Answer) {
-	b.carry(to, func(_ *simBox, k *Keeper) { k.Answered(b.name, a) })
+	b.send(to, func(_ *simBox, k *Keeper) { k.Answered(b.name, a) })
 }
 
-// request has a box send a request, as a relay does.
+// request sends a request from a box, as a relay does.
 func (b *simBox) request(ctx context.Context, cost float64) {
 	b.w.mutex.Lock()
 	down, k := b.down, b.keeper
@@ -183,8 +184,8 @@
 	}
 }
 
-// highest is the most that was used in any window, in units.
-func (w *world) highest() float64 {
+// highestWindow returns the most units used in any window.
+func (w *simFleet) highestWindow() float64 {
 	slices.SortFunc(w.uses, func(a, b use) int { return a.at.Compare(b.at) })
 	sum, most, first := 0.0, 0.0, 0
 	for _, u := range w.uses {
@@ -198,14 +199,14 @@
 	return most
 }
 
-// allowed is what the rules allow in a window.
-func (w *world) allowed() float64 {
+// allowed returns the units that the rules allow in a window.
+func (w *simFleet) allowed() float64 {
 	in := w.limit.Rate*w.bound.Window.Seconds() + w.limit.Burst
 	return in*(1+w.bound.Overage) + w.bound.Slack
 }
 
-// total is all that was used.
-func (w *world) total() float64 {
+// totalUsed returns all units that were used.
+func (w *simFleet) totalUsed() float64 {
 	sum := 0.0
 	for _, u := range w.uses {
 		sum += u.cost
@@ -213,20 +214,20 @@
 	return sum
 }
 
-// load has all boxes send requests for some time.
-func (w *world) load(ctx context.Context, lasts time.Duration, times float64, random *rand.Rand) {
-	w.drawn(w.boxes, lasts, times, random, func(b *simBox, cost float64) { go b.request(ctx, cost) })
+// load sends requests from all boxes for some time.
+func (w *simFleet) load(ctx context.Context, lasts time.Duration, times float64, random *rand.Rand) {
+	w.drawRequests(w.boxes, lasts, times, random, func(b *simBox, cost float64) { go b.request(ctx, cost) })
 }
 
-// each draws requests of an account that five boxes get requests of.
-func (w *world) each(lasts time.Duration, times float64, random *rand.Rand, ask func(b *simBox, cost float64)) {
-	w.drawn(w.boxes[:5], lasts, times, random, ask)
+// loadFive sends the requests of an account from five boxes only.
+func (w *simFleet) loadFive(lasts time.Duration, times float64, random *rand.Rand, ask func(b *simBox, cost float64)) {
+	w.drawRequests(w.boxes[:5], lasts, times, random, ask)
 }
 
-// drawn draws requests that together ask for a multiple of the rate. Costs are like
-// those of the users' work: one of eight is a stream of some 3,270 tokens, the
+// drawRequests draws requests that together ask for a multiple of the rate. The costs
+// follow the users' workload: one request in eight is a stream of some 3,270 tokens, the
 // others are plain, of 200.
-func (w *world) drawn(boxes []*simBox, lasts time.Duration, times float64, random *rand.Rand, ask func(b *simBox, cost float64)) {
+func (w *simFleet) drawRequests(boxes []*simBox, lasts time.Duration, times float64, random *rand.Rand, ask func(b *simBox, cost float64)) {
 	const plain, stream, streams = 200, 3270, 8
 	mean := (stream + (streams-1)*plain) / float64(streams)
 	every := time.Duration(mean / (times * w.limit.Rate) * float64(time.Second))
@@ -240,61 +241,61 @@
 	}
 }
 
-// shiftedBound is what the users' sheet allows.
-var shiftedBound = quota.Bound{Window: 8 * time.Second, Overage: 0.1, Slack: 120_000}
+// toleratedBound is the tolerance that the users' requirements allow.
+var toleratedBound = quota.Bound{Window: 8 * time.Second, Overage: 0.1, Slack: 120_000}
 
-// quotasOf are a small and a large account of the users' sheet.
-var quotasOf = map[string]table.Quota{
+// accountQuotas are the quotas of a small and a large account from the users' requirements.
+var accountQuotas = map[string]table.Quota{
 	"small account": {Unit: table.UnitTokens, Rate: 29_000, Burst: 29_000, PlainTokens: 200},
 	"large account": {Unit: table.UnitTokens, Rate: 221_000, Burst: 221_000, PlainTokens: 200},
 }
 
-// TestLimitIsUsed holds that an account which asks for three times its quota gets
-// at least 0.97 of what one counter for all would admit, and no more.
+// TestLimitIsUsed checks that an account which asks for three times its quota gets at least
+// 0.97 of what one counter for all boxes would admit, and no more than that counter would.
 func TestLimitIsUsed(t *testing.T) {
-	for name, limit := range quotasOf {
+	for name, limit := range accountQuotas {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				w := newWorld(60, limit, shiftedBound, time.Second)
+				w := newWorld(60, limit, toleratedBound, time.Second)
 				const lasts = 20 * time.Second
 				w.load(ctx, lasts, 3, rand.New(rand.NewPCG(1, 2)))
-				// Those that wait for their quota send within a second.
+				// Requests that wait for their quota are sent within a second.
 				time.Sleep(time.Second)
 				cancel()
 				time.Sleep(time.Second)
 				w.mutex.Lock()
 				defer w.mutex.Unlock()
 				perfect := limit.Rate * lasts.Seconds()
-				t.Logf("used %.3f of the quota, highest window %.3f of it", w.total()/perfect, w.highest()/(limit.Rate*w.bound.Window.Seconds()+limit.Burst))
-				if w.total() < 0.97*perfect || w.total() > perfect+limit.Burst {
-					t.Errorf("used %.3f of the quota", w.total()/perfect)
+				t.Logf("used %.3f of the quota, highest window %.3f of it", w.totalUsed()/perfect, w.highestWindow()/(limit.Rate*w.bound.Window.Seconds()+limit.Burst))
+				if w.totalUsed() < 0.97*perfect || w.totalUsed() > perfect+limit.Burst {
+					t.Errorf("used %.3f of the quota", w.totalUsed()/perfect)
 				}
 			})
 		})
 	}
 }
 
-// trouble is one event of a drawn day.
-type trouble struct {
+// fault is one fault of a random run.
+type fault struct {
 	at    time.Duration
 	kind  int
 	box   int
 	lasts time.Duration
 }
 
-// Kinds of trouble.
+// Kinds of faults.
 const (
 	boxDies = iota
 	boxIsCut
 	halfIsCut
 	allDie
-	kindsOfTrouble
+	faultKinds
 )
 
-// strike brings a trouble about and ends it after its time.
-func (w *world) strike(tr trouble) {
+// inject brings a fault about and ends it after its duration.
+func (w *simFleet) inject(tr fault) {
 	w.mutex.Lock()
 	struck := []*simBox{w.boxes[tr.box]}
 	switch tr.kind {
@@ -312,7 +313,7 @@
 		}
 	}
 	w.mutex.Unlock()
-	w.settle()
+	w.updateViews()
 	time.AfterFunc(tr.lasts, func() {
 		w.mutex.Lock()
 		for _, b := range struck {
@@ -325,21 +326,21 @@
 			}
 		}
 		w.mutex.Unlock()
-		w.settle()
+		w.updateViews()
 	})
 }
 
-// TestOracleWindows plays drawn troubles under an account that asks for twice its
-// quota all the time, and holds every window against the rules.
+// TestOracleWindows injects random faults under an account that asks for up to twice its
+// quota, and checks every window against the rules.
 func TestOracleWindows(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		limit := quotasOf[rapid.SampledFrom([]string{"small account", "large account"}).Draw(r, "account")]
+		limit := accountQuotas[rapid.SampledFrom([]string{"small account", "large account"}).Draw(r, "account")]
 		boxes := rapid.IntRange(2, 9).Draw(r, "boxes")
 		lag := time.Duration(rapid.IntRange(100, 2500).Draw(r, "lag ms")) * time.Millisecond
-		troubles := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) trouble {
-			return trouble{
+		troubles := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) fault {
+			return fault{
 				at:    time.Duration(rapid.IntRange(0, 16_000).Draw(r, "at ms")) * time.Millisecond,
-				kind:  rapid.IntRange(0, kindsOfTrouble-1).Draw(r, "kind"),
+				kind:  rapid.IntRange(0, faultKinds-1).Draw(r, "kind"),
 				box:   rapid.IntRange(0, boxes-1).Draw(r, "box"),
 				lasts: time.Duration(rapid.IntRange(200, 9_000).Draw(r, "lasts ms")) * time.Millisecond,
 			}
@@ -350,16 +351,16 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			w := newWorld(boxes, limit, shiftedBound, lag)
+			w := newWorld(boxes, limit, toleratedBound, lag)
 			for _, tr := range troubles {
-				time.AfterFunc(tr.at, func() { w.strike(tr) })
+				time.AfterFunc(tr.at, func() { w.inject(tr) })
 			}
 			w.load(ctx, 25*time.Second, times, rand.New(rand.NewPCG(luck, luck)))
 			cancel()
 			time.Sleep(12 * time.Second)
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
-			if most := w.highest(); most > w.allowed() {
+			if most := w.highestWindow(); most > w.allowed() {
 				failure = fmt.Sprintf("a window has %.0f units, allowed are %.0f", most, w.allowed())
 			}
 		})
@@ -369,33 +370,34 @@
 	})
 }
 
-// use asks for what one request costs.
+// admit asks for the cost of one request.
 func (b *simBox) admit(ctx context.Context, number uint64, cost float64) Verdict {
 	id := lifecycle.RequestID{Box: b.name, Sequence: number}
 	return b.keeper.Admit(ctx, Use{ID: id, Account: account, Cost: cost, Wait: 100 * time.Millisecond, Patience: time.Second})
 }
 
-// simBubble runs a test on a fleet with the clock of a bubble.
-func simBubble(t *testing.T, boxes int, body func(ctx context.Context, w *world)) {
+// withFleet runs a test on a simulated fleet with the fake clock of synctest.
+func withFleet(t *testing.T, boxes int, body func(ctx context.Context, w *simFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(boxes, quotasOf["small account"], shiftedBound, time.Second)
+		w := newWorld(boxes, accountQuotas["small account"], toleratedBound, time.Second)
 		body(ctx, w)
 		cancel()
 		time.Sleep(time.Second)
 	})
 }
 
-// TestSecondInRank holds that the second box in rank decides only while it cannot
-// reach the home, and then with half of the quota.
+// TestSecondInRank checks that the second box in rank decides only while it cannot reach
+// the home, and then with half of the quota, and that a silent home delays only the first
+// requests.
 func TestSecondInRank(t *testing.T) {
-	simBubble(t, 3, func(ctx context.Context, w *world) {
+	withFleet(t, 3, func(ctx context.Context, w *simFleet) {
 		first, second, third := w.boxes[0], w.boxes[1], w.boxes[2]
 		if got := second.keeper.decide(third.name, Ask{Account: account, Need: quota.Need{Cost: 10}}); got.Outcome != Checking {
-			t.Errorf("the second in rank said %v while it could reach the home", got.Outcome)
+			t.Errorf("the second in rank decided %v while it could reach the home", got.Outcome)
 		}
 		if got := third.keeper.decide(second.name, Ask{Account: account, Need: quota.Need{Cost: 10}}); got.Outcome != NotHome {
-			t.Errorf("the third in rank said %v", got.Outcome)
+			t.Errorf("the third in rank decided %v", got.Outcome)
 		}
 		time.Sleep(time.Second)
 		w.mutex.Lock()
@@ -407,12 +409,12 @@
 			t.Errorf("with a silent home: %+v", v)
 		}
 		if took := time.Since(begin); took > 400*time.Millisecond {
-			t.Errorf("a silent home held a request for %v", took)
+			t.Errorf("a silent home delayed a request by %v", took)
 		}
 		begin = time.Now()
 		third.admit(ctx, 2, 5000)
 		if took := time.Since(begin); took > 50*time.Millisecond {
-			t.Errorf("a home known to be silent held a request for %v", took)
+			t.Errorf("a home known to be silent delayed a request by %v", took)
 		}
 		w.mutex.Lock()
 		first.down = false
@@ -426,52 +428,52 @@
 	})
 }
 
-// TestHalvesCutApart holds that the two halves of a fleet that cannot reach each
-// other for longer than a window keep to the quota together, though both are asked
-// for twice of it. The fullest window has 0.73 of what is allowed; if each half
-// gave out the whole, it has 1.15.
+// TestHalvesCutApart checks that two halves of a fleet that cannot reach each other for
+// longer than a window keep to the quota together, though both are asked for twice the
+// quota. The fullest window has 0.73 of what is allowed; if each half lent the whole quota,
+// it would have 1.15.
 func TestHalvesCutApart(t *testing.T) {
-	simBubble(t, 8, func(ctx context.Context, w *world) {
-		w.strike(trouble{kind: halfIsCut, lasts: 15 * time.Second})
+	withFleet(t, 8, func(ctx context.Context, w *simFleet) {
+		w.inject(fault{kind: halfIsCut, lasts: 15 * time.Second})
 		w.load(ctx, 14*time.Second, 4, rand.New(rand.NewPCG(5, 6)))
 		time.Sleep(3 * time.Second)
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		t.Logf("the fullest window has %.3f of what is allowed", w.highest()/w.allowed())
-		if w.highest() > w.allowed() {
-			t.Errorf("a window has %.0f units, allowed are %.0f", w.highest(), w.allowed())
+		t.Logf("the fullest window has %.3f of what is allowed", w.highestWindow()/w.allowed())
+		if w.highestWindow() > w.allowed() {
+			t.Errorf("a window has %.0f units, allowed are %.0f", w.highestWindow(), w.allowed())
 		}
 	})
 }
 
-// TestPausedHome holds that a home which stood still starts anew with nothing.
+// TestPausedHome checks that a home which was paused starts again with an empty bucket.
 func TestPausedHome(t *testing.T) {
-	simBubble(t, 2, func(ctx context.Context, w *world) {
+	withFleet(t, 2, func(ctx context.Context, w *simFleet) {
 		home := w.boxes[0]
 		home.admit(ctx, 1, 10)
 		time.Sleep(5 * time.Second)
 		home.keeper.Paused()
 		if v := home.admit(ctx, 2, 20_000); v.Outcome != Over {
-			t.Errorf("a home that stood still said %+v", v)
+			t.Errorf("a home that was paused decided %+v", v)
 		}
 	})
 }
 
-// TestQuotaChanges holds that a lower or higher quota, another unit and an account
-// that is gone count at once.
+// TestQuotaChanges checks that a lower or higher quota, and its removal from an account,
+// take effect at once.
 func TestQuotaChanges(t *testing.T) {
-	set := func(w *world, q *table.Quota) {
+	set := func(w *simFleet, q *table.Quota) {
 		for _, b := range w.boxes {
 			b.keeper.SetTable(table.Table{Accounts: []table.Account{{Name: account, Quota: q}}})
 		}
 	}
-	simBubble(t, 2, func(ctx context.Context, w *world) {
+	withFleet(t, 2, func(ctx context.Context, w *simFleet) {
 		home := w.boxes[0]
 		home.admit(ctx, 1, 10)
 		time.Sleep(5 * time.Second)
 		set(w, &table.Quota{Unit: table.UnitTokens, Rate: 100, Burst: 100})
 		if v := home.admit(ctx, 2, 5000); v.Outcome != Admitted {
-			t.Errorf("a full bucket said %+v", v)
+			t.Errorf("with a full bucket: %+v", v)
 		}
 		if v := home.admit(ctx, 3, 50); v.Outcome != Over {
 			t.Errorf("under a lower quota: %+v", v)
--- a/coordination/quota/home.go
+++ b/coordination/quota/home.go
@@ -13,13 +13,14 @@
 	"runridge.example/runridge/state/quota"
 )
 
-// Receive takes another box's ask and answers it. It is no sign that the other
-// box can be reached from here: a cut may hold one way only.
+// Receive answers another box's question. The question doesn't show that the other box can
+// be reached from here: a network partition may affect one direction only.
 func (k *Keeper) Receive(from string, a Ask) {
 	k.cfg.Peers.SendAnswer(from, k.decide(from, a))
 }
 
-// decide answers an ask as the account's home, or says that this box is not.
+// decide answers a question as the account's home, or reports that this box is not its
+// home.
 func (k *Keeper) decide(from string, a Ask) Answer {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -29,7 +30,7 @@
 	}
 	limit, known := k.accounts[a.Account]
 	if !known {
-		// The asker's table is newer, or older; by the next ask they agree.
+		// The tables of the two boxes differ; they will agree by a later question.
 		out.Outcome = NotHome
 		return out
 	}
@@ -60,18 +61,18 @@
 	return out
 }
 
-// homeTerms say as what this box decides on an account.
+// homeTerms are the conditions under which this box decides on an account.
 type homeTerms struct {
 	fleet  Fleet
 	acting bool
 }
 
-// terms says whether this box may decide on an account now, and as what. The
-// mutex is held.
+// terms reports whether this box may decide on an account now, and under which conditions.
+// The caller holds the mutex.
 func (k *Keeper) terms(account string) (homeTerms, Outcome) {
 	fleet := k.cfg.Fleet()
 	if fleet.All == 0 {
-		// A box that knows nothing of the others cannot tell its part.
+		// A box that does not know the others cannot compute its share.
 		return homeTerms{}, Checking
 	}
 	ranked := k.cfg.Ranked(account)
@@ -92,29 +93,30 @@
 	}
 }
 
-// probe asks a home whether it can be reached, unless that is being asked. The
-// mutex is held.
+// probe sends a question without cost to a home to see whether it can be reached, unless
+// one is pending. The caller holds the mutex.
 func (k *Keeper) probe(box, account string) {
 	if _, asked := k.unanswered[box]; asked {
 		return
 	}
 	k.unanswered[box] = k.uptime()
-	// One that finds no room is answered by silence, as a lost one is.
+	// A probe that does not fit the queue is handled like a lost one: no answer comes.
 	_ = k.cfg.Peers.SendAsk(box, Ask{ID: probeID(k.cfg.Self), Account: account})
 }
 
-// probeID is that of asks whose answer nobody waits for.
+// probeID returns the ID of questions whose answer is not waited for.
 func probeID(box string) lifecycle.AttemptID {
 	return lifecycle.AttemptID{Request: lifecycle.RequestID{Box: box}}
 }
 
-// silent says whether a box has not answered this one in time. The mutex is held.
+// silent reports whether a box has failed to answer this one in time. The caller holds the
+// mutex.
 func (k *Keeper) silent(box string) bool {
 	since, asked := k.unanswered[box]
-	return asked && k.uptime()-since >= answerPatience
+	return asked && k.uptime()-since >= answerTimeout
 }
 
-// count notes a decision for operators. The mutex is held.
+// count records a decision for operators. The caller holds the mutex.
 func (k *Keeper) count(b *bucket, a Ask, d quota.Decision, now time.Duration) {
 	window := max(k.cfg.Bound.Window, time.Second)
 	if now-b.since >= window {
@@ -134,7 +136,8 @@
 	k.counts[a.Account] = c
 }
 
-// logRefused writes what a refusal was decided by. The mutex is held.
+// logRefused logs a refusal with the state that it was decided on. The caller holds the
+// mutex.
 func (k *Keeper) logRefused(from string, a Ask, out Answer, t quota.Terms, level float64) {
 	k.cfg.Log.WithFields(log.Fields{
 		log.FieldAsk: a.ID.String(),
@@ -148,7 +151,7 @@
 	}).Info("quota_refused")
 }
 
-// Status is what operators are told of this box's part in the quotas.
+// Status returns the state of the quotas at this box, for operators.
 func (k *Keeper) Status() Status {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
