--- a/coordination/quarantine/check.go
+++ b/coordination/quarantine/check.go
@@ -13,112 +13,115 @@
 	"runridge.example/runridge/state/poison"
 )
 
-// That an exchange broke off does not show that its endpoint ended: connections are reset
-// under way, answers get lost, and links are cut. The endpoint is looked for, and where
-// nothing listens at its address any more it has ended. Where something does, or nothing
-// answers, it has if the platform says so within the time in which it notices.
+// An exchange that breaks off does not prove that its endpoint ended: connections are reset
+// on the way, answers get lost, and links fail. So the endpoint is probed. If nothing
+// listens at its address any more, it has ended. If something listens, or nothing answers,
+// it counts as ended only if the platform reports so within the time that the platform
+// takes to notice.
 
 const (
-	// probeTimeout bounds the look for one endpoint, and mostProbes the looks at once.
+	// probeTimeout bounds the probe of one endpoint, and maxProbes the probes in flight.
 	probeTimeout = time.Second
-	mostProbes   = 64
-	// settleFor is how long an endpoint stays in doubt, and how long its end is
-	// remembered for exchanges that break off later: longer than its entry stays after
-	// its end, and than one waits whose machine says nothing.
-	settleFor = 6 * time.Second
-	// mostLosses bounds the losses that wait for one endpoint's check: more than a box
-	// has under way there.
-	mostLosses = 256
+	maxProbes    = 64
+	// checkTTL is how long a check is kept, so that later losses of the same start are
+	// matched to it: longer than an endpoint's entry stays listed after its end, and longer
+	// than a request waits for a machine that does not answer.
+	checkTTL = 6 * time.Second
+	// maxLosses bounds the losses that wait for one endpoint's check; it is more than a box
+	// has in flight there.
+	maxLosses = 256
 )
 
-// doubt is what is known of an endpoint in doubt.
-type doubt uint8
+// checkState is what is known of an endpoint under check.
+type checkState uint8
 
 const (
-	// looking: the endpoint is being looked for.
-	looking doubt = iota
-	// unreached: it could not be reached, which may be for the link's sake.
-	unreached
-	// listening: something listens at its address.
-	listening
-	// over: it has ended.
-	over
+	// stateProbing: the endpoint is being probed.
+	stateProbing checkState = iota
+	// stateUnreached: the endpoint could not be reached, perhaps because of the link.
+	stateUnreached
+	// stateListening: something listens at the endpoint's address.
+	stateListening
+	// stateEnded: the endpoint has ended.
+	stateEnded
 )
 
-// check is one start of an endpoint in doubt.
+// check is the check of one start of an endpoint.
 type check struct {
 	status directory.Status
-	// since is when the first exchange with it broke off.
+	// since is when the first exchange with the endpoint broke off.
 	since  time.Time
-	doubt  doubt
+	state  checkState
 	losses []loss
-	// ended is when it was found to have ended, if it has.
+	// ended is when the endpoint was found to have ended, if it was.
 	ended time.Time
 }
 
-// probe is what came of looking for an endpoint.
-type probe struct {
+// probeResult is the result of a probe.
+type probeResult struct {
 	start uint64
 	err   error
 }
 
-// startOf stands for the start of an endpoint.
-func startOf(s directory.Status) uint64 { return poison.EndpointOf(s.ID, s.Born) }
+// startID returns the ID of one start of an endpoint.
+func startID(s directory.Status) uint64 { return poison.EndpointOf(s.ID, s.Born) }
 
-// doubt takes a loss, and looks for its endpoint if that is its first.
-func (k *Keeper) doubt(ctx context.Context, l loss) {
-	start := startOf(l.status)
+// handleLoss adds a loss to the check of its endpoint, and starts the check if there is
+// none.
+func (k *Keeper) handleLoss(ctx context.Context, l loss) {
+	start := startID(l.status)
 	c := k.checks[start]
-	switch c.about(l.sent()) {
-	case afterEnd:
+	switch c.relationOf(l.sent()) {
+	case lossAfterEnd:
 		return
-	case another:
-		c = &check{status: l.status, since: l.at, doubt: looking}
+	case lossUnrelated:
+		c = &check{status: l.status, since: l.at, state: stateProbing}
 		k.checks[start] = c
-		k.look(ctx, start, l.status.Address)
+		k.startProbe(ctx, start, l.status.Address)
 	}
 	switch {
-	case c.doubt == over:
+	case c.state == stateEnded:
 		k.record(c, l)
-	case len(c.losses) < mostLosses:
+	case len(c.losses) < maxLosses:
 		c.losses = append(c.losses, l)
 	}
 }
 
-// concern is how a loss stands to an endpoint in doubt.
-type concern uint8
+// lossRelation is the relation of a loss to a check of its endpoint.
+type lossRelation uint8
 
 const (
-	// samePart: it was under way when the first sign of the endpoint's end came.
-	samePart concern = iota
-	// afterEnd: it was sent later, and has no part in that.
-	afterEnd
-	// another: it is of something else, that has to be looked into.
-	another
+	// lossCounts: the request was in flight when the first sign of the endpoint's end came.
+	lossCounts lossRelation = iota
+	// lossAfterEnd: the request was sent later, so it has no part in that end.
+	lossAfterEnd
+	// lossUnrelated: the loss belongs to another event, which needs its own check.
+	lossUnrelated
 )
 
-// about says how a request that was sent at a time stands to the check, which may be none.
-func (c *check) about(sent time.Time) concern {
+// relationOf returns the relation of a request that was sent at the given time to the
+// check, which may be nil.
+func (c *check) relationOf(sent time.Time) lossRelation {
 	switch {
 	case c == nil:
-		return another
+		return lossUnrelated
 	case !sent.After(c.since):
-		return samePart
-	case c.doubt == listening:
-		return another
-	case c.doubt == over && c.status.Born == 0 && sent.After(c.ended):
-		// It does not say when it started, and may have again.
-		return another
+		return lossCounts
+	case c.state == stateListening:
+		return lossUnrelated
+	case c.state == stateEnded && c.status.Born == 0 && sent.After(c.ended):
+		// Its start time is unknown, and it may have restarted.
+		return lossUnrelated
 	default:
-		return afterEnd
+		return lossAfterEnd
 	}
 }
 
-// look looks for an endpoint in the background.
-func (k *Keeper) look(ctx context.Context, start uint64, address string) {
-	if len(k.checks) > mostProbes {
-		// The platform's list will tell.
-		k.checks[start].doubt = unreached
+// startProbe probes an endpoint in the background.
+func (k *Keeper) startProbe(ctx context.Context, start uint64, address string) {
+	if len(k.checks) > maxProbes {
+		// Leave it to the platform's list.
+		k.checks[start].state = stateUnreached
 		return
 	}
 	go func() {
@@ -126,68 +129,69 @@
 		defer cancel()
 		err := k.cfg.Prober.Listens(call, address)
 		select {
-		case k.probed <- probe{start: start, err: err}:
+		case k.probed <- probeResult{start: start, err: err}:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// takeProbe takes what came of looking for an endpoint.
-func (k *Keeper) takeProbe(p probe) {
+// handleProbe applies the result of a probe.
+func (k *Keeper) handleProbe(p probeResult) {
 	c := k.checks[p.start]
-	if c == nil || c.doubt == over {
+	if c == nil || c.state == stateEnded {
 		return
 	}
 	switch adapter.BreakOf(p.err) {
 	case adapter.BreakNone:
-		c.doubt = listening
+		c.state = stateListening
 	case adapter.BreakRefused:
-		k.end(c, "refused")
+		k.markEnded(c, "refused")
 		return
 	default:
-		c.doubt = unreached
+		c.state = stateUnreached
 	}
-	k.settle()
+	k.resolve()
 }
 
-// settle looks in the list for what became of the endpoints in doubt, and forgets those
-// that were in doubt, or over, for long enough.
-func (k *Keeper) settle() {
+// resolve looks up in the platform's list what became of the endpoints under check, and
+// drops the checks that are older than checkTTL.
+func (k *Keeper) resolve() {
 	if len(k.checks) == 0 {
 		return
 	}
 	now := k.cfg.Now()
 	for start, c := range k.checks {
-		if c.doubt != over {
+		if c.state != stateEnded {
 			if why, ended := c.endedBy(k.cfg.Find(c.status.ID)); ended {
-				k.end(c, why)
+				k.markEnded(c, why)
 			}
 		}
-		if now.Sub(c.since) >= settleFor {
+		if now.Sub(c.since) >= checkTTL {
 			delete(k.checks, start)
 		}
 	}
 }
 
-// endedBy says whether the list shows that the endpoint ended. That its entry is gone
-// shows it only where it can't be reached: some that end as planned say no more than that.
+// endedBy reports whether the list shows that the endpoint ended, and by what. A missing
+// entry shows it only if the endpoint cannot be reached: some endpoints that end as planned
+// disappear from the list without any other notice.
 func (c *check) endedBy(now directory.Status, listed bool) (why string, ended bool) {
 	switch {
 	case listed && now.Born != c.status.Born:
 		return "started_again", true
 	case listed && now.Left:
 		return "replaced", true
-	case c.doubt == unreached && (!listed || now.Gone && !now.Draining):
+	case c.state == stateUnreached && (!listed || now.Gone && !now.Draining):
 		return "not_listed", true
 	default:
 		return "", false
 	}
 }
 
-// end takes in that an endpoint has ended, and records it against all that it was in
-// the middle of.
-func (k *Keeper) end(c *check, why string) {
-	c.doubt, c.ended = over, k.cfg.Now()
+// markEnded marks an endpoint as ended, and records its end against all requests that it
+// was processing.
+func (k *Keeper) markEnded(c *check, why string) {
+	c.state, c.ended = stateEnded, k.cfg.Now()
 	k.cfg.Log.WithFields(log.Fields{
 		log.FieldEngine: c.status.ID,
 		"service":       c.status.Service,
@@ -202,7 +206,8 @@
 	c.losses = nil
 }
 
-// record records the end of an endpoint against requests that it was in the middle of.
+// record records the end of an endpoint against requests that it was processing, and
+// publishes the suspects.
 func (k *Keeper) record(c *check, losses ...loss) {
 	now := k.cfg.Now()
 	suspects := make([]poison.Suspect, 0, len(losses))
@@ -215,11 +220,11 @@
 		}).Info("poison_suspected")
 		suspects = append(suspects, poison.Suspect{
 			Fingerprint: l.fingerprint,
-			Ends:        []poison.End{{Endpoint: startOf(c.status), At: c.ended, Ran: l.ran}},
+			Ends:        []poison.End{{Endpoint: startID(c.status), At: c.ended, Ran: l.ran}},
 			Seen:        now,
 		})
 	}
-	k.publish(k.learn("here", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) {
+	k.publish(k.update("here", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) {
 		return l.With(now, suspects...)
 	}))
 }
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -2,9 +2,10 @@
 // SPDX-License-Identifier: MIT
 
 // Package quarantine keeps a box's ledger of poison requests: requests that end every
-// endpoint that runs them. It finds out whether an endpoint ended where an exchange broke
-// off, tells the other boxes, and says which requests must reach no endpoint any more. A
-// box that missed something notices from the digest on each membership message, and asks.
+// endpoint that runs them. It finds out whether an endpoint ended when an exchange broke
+// off, broadcasts suspects to the other boxes, and reports which requests must not reach an
+// endpoint any more. A box that missed an update notices from the digest on each membership
+// message, and pulls.
 package quarantine
 
 import (
@@ -19,24 +20,25 @@
 	"runridge.example/runridge/state/poison"
 )
 
-// Peers takes suspects between boxes. Calls must not block.
+// Peers sends suspects to other boxes. Calls must not block.
 type Peers interface {
 	SendSuspects(to string, u poison.Update)
-	// SendSuspectsPull asks a box for those that it knows.
+	// SendSuspectsPull asks a box for the suspects that it knows.
 	SendSuspectsPull(to string)
 }
 
-// Prober looks for an endpoint.
+// Prober probes an endpoint.
 type Prober interface {
-	// Listens connects to an address and says nothing. An error tells why that failed.
+	// Listens connects to an address and sends nothing. The error tells why connecting
+	// failed.
 	Listens(ctx context.Context, address string) error
 }
 
-// Metrics counts what is found.
+// Metrics counts ended endpoints and refused requests.
 type Metrics interface {
-	// EndpointEnded counts an endpoint that ended in the middle of requests.
+	// EndpointEnded counts an endpoint that ended while processing requests.
 	EndpointEnded(service string)
-	// PoisonRefused counts a request that was kept from the endpoints.
+	// PoisonRefused counts a request that was kept from all endpoints.
 	PoisonRefused(service string)
 }
 
@@ -44,28 +46,28 @@
 type Config struct {
 	Self   string
 	Prober Prober
-	// Find tells what this box knows of an endpoint.
+	// Find returns what this box knows of an endpoint.
 	Find  func(id string) (directory.Status, bool)
 	Peers Peers
-	// Ranked lists the boxes with duties of this box's region in an order that all
-	// of them agree on for a key.
+	// Ranked returns the active boxes of this box's region, in an order for a key that all
+	// of them agree on.
 	Ranked func(key string) []string
-	// Tree orders them for the tree in which what an origin tells goes round; nil is by
-	// Ranked.
+	// Tree returns the same boxes in the order of the tree by which an origin's updates are
+	// forwarded; nil means the order of Ranked.
 	Tree func(key, origin string) []string
-	// Heads names the box of each other region that takes updates in for it, in the
-	// same order for a key; nil is none.
+	// Heads returns, for each other region, the box that receives updates for it, in the
+	// same order for a key; nil means none.
 	Heads func(key string) []string
 	// Metrics may be nil.
 	Metrics Metrics
 	Log     log.Logger
-	// Now is the clock; nil is that of the machine.
+	// Now is the clock; nil means the system clock.
 	Now func() time.Time
 }
 
-// loss is an exchange that broke off while its endpoint may have run the request.
+// loss is an exchange that broke off while its endpoint may have been running the request.
 type loss struct {
-	// request is the caller's id, for the log.
+	// request is the caller's ID, for the log.
 	request     string
 	fingerprint poison.Fingerprint
 	endpoint    string
@@ -76,36 +78,36 @@
 	status directory.Status
 }
 
-// sent is when the exchange began.
+// sent returns when the exchange began.
 func (l loss) sent() time.Time { return l.at.Add(-l.ran) }
 
 const (
-	// lossQueue bounds the losses that wait for the duty: all that a box may have under
-	// way at some endpoints that end at once.
+	// lossQueue bounds the queue of losses; it holds all that a box may have in flight at
+	// some endpoints that end at once.
 	lossQueue = 1024
-	// look is how often the duty looks whether an endpoint in doubt has been replaced, and
-	// forget how often it forgets old suspects: with all that a ledger may hold 0.9 ms.
-	look   = 200 * time.Millisecond
-	forget = time.Second
+	// resolveInterval is how often the list is searched for endpoints under check, and
+	// expiryInterval how often old suspects are expired: with a full ledger that takes 0.9
+	// ms.
+	resolveInterval = 200 * time.Millisecond
+	expiryInterval  = time.Second
 )
 
-// Keeper is the duty.
+// Keeper keeps a box's ledger of poison requests and checks endpoints after losses.
 type Keeper struct {
 	cfg    Config
 	losses *ring.Ring[loss]
-	probed chan probe
-	// checks are the endpoints in doubt by what stands for their start; only the duty
-	// reads and writes it.
+	probed chan probeResult
+	// checks are the endpoints under check by start ID; only Run accesses it.
 	checks map[uint64]*check
 
 	mutex  sync.Mutex
 	ledger poison.Ledger
 	digest uint64
-	// pulled is when another box was last asked.
+	// pulled is when another box was last asked for its suspects.
 	pulled time.Time
 }
 
-// New makes the duty; Run starts it.
+// New returns a Keeper with an empty ledger; Run starts it.
 func New(cfg Config) *Keeper {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -113,43 +115,44 @@
 	return &Keeper{
 		cfg:    cfg,
 		losses: ring.New[loss](lossQueue),
-		probed: make(chan probe, mostProbes),
+		probed: make(chan probeResult, maxProbes),
 		checks: make(map[uint64]*check),
 	}
 }
 
-// any says whether anything is suspected: without it no request needs a fingerprint.
-func (k *Keeper) any() bool {
+// anySuspects reports whether there is any suspect: without one, no request needs a
+// fingerprint.
+func (k *Keeper) anySuspects() bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.ledger.Len() > 0
 }
 
-// blocked says whether a request must reach no endpoint any more. One that comes again is
-// remembered for longer, on all boxes.
+// blocked reports whether a request must not reach an endpoint any more. A blocked request
+// that comes again is remembered for longer, on all boxes.
 func (k *Keeper) blocked(f poison.Fingerprint) bool {
 	k.mutex.Lock()
 	if !k.ledger.Blocked(f) {
 		k.mutex.Unlock()
 		return false
 	}
-	next, told := k.ledger.WithSeen(k.cfg.Now(), f)
+	next, news := k.ledger.WithSeen(k.cfg.Now(), f)
 	k.ledger = next
 	k.mutex.Unlock()
-	k.publish(told)
+	k.publish(news)
 	return true
 }
 
-// answered takes in that an endpoint has answered a request whole.
+// answered records that an endpoint has answered a request in full.
 func (k *Keeper) answered(f poison.Fingerprint) {
-	k.publish(k.learn("answer", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) {
+	k.publish(k.update("answer", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) {
 		return l.WithAnswered(now, f)
 	}))
 }
 
-// broke takes in a loss. That of an endpoint that was about to end anyway says nothing of
-// the request.
-func (k *Keeper) broke(l loss) {
+// reportLoss queues a loss, unless the endpoint was about to end anyway: then its end says
+// nothing about the request.
+func (k *Keeper) reportLoss(l loss) {
 	status, known := k.cfg.Find(l.endpoint)
 	if !known || !status.Usable() && !status.Left {
 		return
@@ -160,43 +163,44 @@
 	}
 }
 
-// Run finds out which endpoints have ended until the context ends.
+// Run checks endpoints after losses and expires old suspects until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	ages := time.NewTicker(forget)
+	ages := time.NewTicker(expiryInterval)
 	defer ages.Stop()
-	// Without an endpoint in doubt there is nothing to look at.
+	// Without an endpoint under check there is nothing to look up.
 	var looks <-chan time.Time
 	for {
 		if looks == nil && len(k.checks) > 0 {
-			looks = time.After(look)
+			looks = time.After(resolveInterval)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case l := <-k.losses.C():
-			k.doubt(ctx, l)
+			k.handleLoss(ctx, l)
 		case p := <-k.probed:
-			k.takeProbe(p)
+			k.handleProbe(p)
 		case <-looks:
 			looks = nil
-			k.settle()
+			k.resolve()
 		case <-ages.C:
-			if !k.any() {
+			if !k.anySuspects() {
 				continue
 			}
-			k.learn("age", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) {
+			k.update("age", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) {
 				return l.Without(now), nil
 			})
 		}
 	}
 }
 
-// learn puts what was learnt into force, and returns the suspects that tell others more.
-func (k *Keeper) learn(from string, change func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect)) []poison.Suspect {
+// update applies a change to the ledger, logs changes of the blocked requests, and returns
+// the suspects that are news to other boxes.
+func (k *Keeper) update(from string, change func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect)) []poison.Suspect {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now, old := k.cfg.Now(), k.ledger
-	next, told := change(now, old)
+	next, news := change(now, old)
 	k.ledger, k.digest = next, next.Digest(now)
 	if before, after := old.AllBlocked(), next.AllBlocked(); !slices.Equal(before, after) {
 		k.cfg.Log.WithFields(log.Fields{
@@ -207,5 +211,5 @@
 			"from":         from,
 		}).Warn("poison_changed")
 	}
-	return told
+	return news
 }
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -24,23 +24,25 @@
 	"runridge.example/runridge/state/spread"
 )
 
-// fleet is boxes whose messages reach the others at once, and the endpoints they see.
+// fleet is a set of boxes whose messages are delivered at once, and the endpoints that they
+// see.
 type fleet struct {
 	names []string
 	boxes map[string]*Keeper
-	// sent counts the updates that each box was sent, and pulls the questions.
+	// sent counts the updates that each box received, and pulls the pulls.
 	sent, pulls map[string]int
 	cut         map[string]bool
-	// zones are those of the boxes, where these matter, and crossed counts the updates
-	// from one to another.
+	// zones are the boxes' zones where these matter, and crossed counts the updates between
+	// zones.
 	zones   map[string]string
 	crossed int
 
 	mutex     sync.Mutex
 	directory directory.Directory
-	// answers is what comes of connecting to an address; missing is that nothing answers.
+	// answers are the results of connecting to each address; a missing one means that
+	// nothing answers.
 	answers map[string]error
-	looked  int
+	probes  int
 }
 
 var (
@@ -69,7 +71,7 @@
 	return f
 }
 
-// start has a box begin that knows nothing.
+// start starts a box with an empty ledger.
 func (f *fleet) start(name string) {
 	f.boxes[name] = New(Config{
 		Self: name, Prober: f, Peers: link{f, name}, Log: log.Discard(),
@@ -82,10 +84,10 @@
 	})
 }
 
-// Listens is what comes of connecting to an address.
+// Listens returns the configured result of connecting to an address.
 func (f *fleet) Listens(ctx context.Context, address string) error {
 	f.mutex.Lock()
-	f.looked++
+	f.probes++
 	err, known := f.answers[address]
 	f.mutex.Unlock()
 	if !known {
@@ -95,7 +97,7 @@
 	return err
 }
 
-// list changes the endpoints that are listed.
+// list changes the listed endpoints.
 func (f *fleet) list(change func(d directory.Directory) directory.Directory) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -125,9 +127,9 @@
 	}
 }
 
-// chat has each box name its digest to each other one, after a while.
-func (f *fleet) chat() {
-	time.Sleep(pullPause)
+// exchangeDigests sends the digest of each box to every other one, after pullInterval.
+func (f *fleet) exchangeDigests() {
+	time.Sleep(pullInterval)
 	for _, from := range f.names {
 		for _, to := range f.names {
 			if from != to && !f.cut[from] && !f.cut[to] {
@@ -142,8 +144,8 @@
 	other    = poison.FingerprintOf(poison.Request{Target: "/other"})
 )
 
-// ends has a box learn at first hand that endpoints ended under a request.
-func (f *fleet) ends(box string, fingerprint poison.Fingerprint, endpoints ...int) {
+// recordEnds records at one box that endpoints ended under a request.
+func (f *fleet) recordEnds(box string, fingerprint poison.Fingerprint, endpoints ...int) {
 	k := f.boxes[box]
 	for _, i := range endpoints {
 		status, _ := f.directory.Status(fmt.Sprint("e", i))
@@ -151,7 +153,7 @@
 	}
 }
 
-// blocking lists the boxes that block a request.
+// blocking returns the boxes that block a request.
 func (f *fleet) blocking(fingerprint poison.Fingerprint) map[string]bool {
 	out := make(map[string]bool)
 	for _, name := range f.names {
@@ -164,12 +166,12 @@
 
 func TestEndsAtDifferentBoxesBlockOnAll(t *testing.T) {
 	f := newFleet(150)
-	f.ends("b003", poisoned, 1)
-	f.ends("b077", poisoned, 2)
+	f.recordEnds("b003", poisoned, 1)
+	f.recordEnds("b077", poisoned, 2)
 	if n := len(f.blocking(poisoned)); n != 0 {
 		t.Fatalf("blocked on %d boxes after two ends", n)
 	}
-	f.ends("b120", poisoned, 3)
+	f.recordEnds("b120", poisoned, 3)
 	if n := len(f.blocking(poisoned)); n != 150 {
 		t.Errorf("blocked on %d of 150 boxes", n)
 	}
@@ -181,7 +183,7 @@
 	}
 }
 
-// TestUpdatesCrossOnce holds that an update goes from one region to another in a single
+// TestUpdatesCrossOnce checks that an update goes from one region to another in a single
 // message.
 func TestUpdatesCrossOnce(t *testing.T) {
 	f := newFleet(150)
@@ -195,7 +197,7 @@
 		way := spread.New(b, boxes, regions)
 		f.boxes[b.Name].cfg.Ranked, f.boxes[b.Name].cfg.Heads = way.Near, way.Heads
 	}
-	f.ends("b003", poisoned, 1, 2, 3)
+	f.recordEnds("b003", poisoned, 1, 2, 3)
 	if n := len(f.blocking(poisoned)); n != 150 {
 		t.Errorf("blocked on %d of 150 boxes", n)
 	}
@@ -207,38 +209,38 @@
 func TestMissedEndsAreAskedFor(t *testing.T) {
 	const last = "b005"
 	cases := map[string]struct {
-		// missed happens while the last box hears nothing.
+		// missed happens while the last box receives nothing.
 		missed func(f *fleet)
 		want   map[poison.Fingerprint]int
 	}{
-		"a box that was cut off": {func(f *fleet) { f.ends("b000", poisoned, 1, 2, 3) }, map[poison.Fingerprint]int{poisoned: 6}},
-		"one that starts":        {func(f *fleet) { f.ends("b000", poisoned, 1, 2, 3); f.start(last) }, map[poison.Fingerprint]int{poisoned: 6}},
-		"one that stood still, and its clock with it": {
+		"a box that was cut off": {func(f *fleet) { f.recordEnds("b000", poisoned, 1, 2, 3) }, map[poison.Fingerprint]int{poisoned: 6}},
+		"a box that starts":      {func(f *fleet) { f.recordEnds("b000", poisoned, 1, 2, 3); f.start(last) }, map[poison.Fingerprint]int{poisoned: 6}},
+		"a box that was paused, and its clock with it": {
 			func(f *fleet) {
-				f.ends("b000", poisoned, 1, 2, 3)
+				f.recordEnds("b000", poisoned, 1, 2, 3)
 				f.boxes[last].cfg.Now = func() time.Time { return time.Now().Add(-20 * time.Second) }
 			},
 			map[poison.Fingerprint]int{poisoned: 6},
 		},
-		"one that knows ends of its own": {
+		"a box that recorded ends of its own": {
 			func(f *fleet) {
-				f.ends(last, poisoned, 1)
-				f.ends("b000", poisoned, 2, 3)
+				f.recordEnds(last, poisoned, 1)
+				f.recordEnds("b000", poisoned, 2, 3)
 			},
 			map[poison.Fingerprint]int{poisoned: 6},
 		},
 		"an answer": {
 			func(f *fleet) {
-				f.ends(last, poisoned, 1, 2, 3)
-				f.ends("b000", poisoned, 1)
+				f.recordEnds(last, poisoned, 1, 2, 3)
+				f.recordEnds("b000", poisoned, 1)
 				f.boxes["b000"].answered(poisoned)
-				f.ends("b000", poisoned, 4)
+				f.recordEnds("b000", poisoned, 4)
 			},
 			map[poison.Fingerprint]int{poisoned: 6},
 		},
-		"all others started anew": {
+		"all others restarted": {
 			func(f *fleet) {
-				f.ends(last, poisoned, 1, 2, 3)
+				f.recordEnds(last, poisoned, 1, 2, 3)
 				for _, name := range f.names[:5] {
 					f.start(name)
 				}
@@ -251,12 +253,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(6)
-				f.ends("b001", other, 1, 2)
+				f.recordEnds("b001", other, 1, 2)
 				f.cut[last] = true
 				c.missed(f)
 				f.cut[last] = false
 				for range 4 {
-					f.chat()
+					f.exchangeDigests()
 				}
 				for _, fingerprint := range []poison.Fingerprint{poisoned, other} {
 					if got := len(f.blocking(fingerprint)); got != c.want[fingerprint] {
@@ -270,9 +272,9 @@
 					}
 				}
 				asked := maps.Clone(f.pulls)
-				f.chat()
+				f.exchangeDigests()
 				if !maps.Equal(asked, f.pulls) {
-					t.Errorf("boxes that agree go on asking: %v, then %v", asked, f.pulls)
+					t.Errorf("boxes that agree go on pulling: %v, then %v", asked, f.pulls)
 				}
 			})
 		})
@@ -281,48 +283,48 @@
 
 func TestAnswerElsewhereClearsOnAll(t *testing.T) {
 	f := newFleet(20)
-	f.ends("b000", other, 1, 2, 3)
+	f.recordEnds("b000", other, 1, 2, 3)
 	f.boxes["b007"].answered(other)
 	if n := len(f.blocking(other)); n != 0 {
 		t.Errorf("blocked on %d boxes although it was answered", n)
 	}
 }
 
-// TestComingAgainIsRemembered has a poison request come to one box alone: the others
-// remember it too, and one message a box is enough for some seconds.
+// TestComingAgainIsRemembered sends a poison request to one box only: the others must
+// remember it too, and few messages per box must suffice for that.
 func TestComingAgainIsRemembered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(10)
-		f.ends("b000", poisoned, 1, 2, 3)
+		f.recordEnds("b000", poisoned, 1, 2, 3)
 		clear(f.sent)
 		const tries = 200
 		for range tries {
 			time.Sleep(2 * poison.Keep / tries)
 			if !f.boxes["b004"].blocked(poisoned) {
-				t.Fatal("let through")
+				t.Fatal("the poison request was not blocked")
 			}
 		}
 		for _, k := range f.boxes {
-			k.learn("age", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) { return l.Without(now), nil })
+			k.update("age", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) { return l.Without(now), nil })
 		}
 		if n := len(f.blocking(poisoned)); n != 10 {
 			t.Errorf("blocked on %d of 10 boxes after two minutes", n)
 		}
 		if f.sent["b009"] > 40 {
-			t.Errorf("a box was told %d times in two minutes", f.sent["b009"])
+			t.Errorf("a box received %d updates in two minutes", f.sent["b009"])
 		}
 		time.Sleep(poison.Keep)
 		for _, k := range f.boxes {
-			k.learn("age", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) { return l.Without(now), nil })
-			if k.any() || k.Digest() != 0 {
-				t.Fatal("kept although it does not come any more")
+			k.update("age", func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) { return l.Without(now), nil })
+			if k.anySuspects() || k.Digest() != 0 {
+				t.Fatal("still kept although the request has stopped coming")
 			}
 		}
 	})
 }
 
-// TestWhatEndsAnEndpoint has an exchange break off, and something come to light of its
-// endpoint: only where that ended is the request suspected.
+// TestWhatEndsAnEndpoint lets an exchange break off and varies what becomes known of its
+// endpoint: the request is suspected only if the endpoint ended.
 func TestWhatEndsAnEndpoint(t *testing.T) {
 	entry := func(change func(e *directory.Entry)) func(d directory.Directory) directory.Directory {
 		return func(d directory.Directory) directory.Directory {
@@ -339,7 +341,7 @@
 	bornAgain := entry(func(e *directory.Entry) { e.Born = 2 })
 	listening := error(nil)
 	cases := map[string]struct {
-		// before and after are changes of the list before and 4 s after the loss.
+		// before and after change the list before the loss and 4 s after it.
 		before, after func(d directory.Directory) directory.Directory
 		answer        error
 		silent        bool
@@ -355,7 +357,7 @@
 		"it is silent, and says that it drains":     {silent: true, after: draining},
 		"it was draining":                           {answer: errRefused, before: draining},
 		"it was not listed any more":                {answer: errRefused, before: gone},
-		"the way there breaks":                      {answer: errSilent},
+		"the connection times out":                  {answer: errSilent},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -372,41 +374,41 @@
 				ctx, end := context.WithCancel(t.Context())
 				var running sync.WaitGroup
 				running.Go(func() { _ = k.Run(ctx) })
-				k.broke(loss{fingerprint: poisoned, endpoint: "e1", ran: time.Second})
+				k.reportLoss(loss{fingerprint: poisoned, endpoint: "e1", ran: time.Second})
 				time.Sleep(4 * time.Second)
 				if c.after != nil {
 					f.list(c.after)
 				}
-				time.Sleep(settleFor)
-				if k.any() != c.want {
-					t.Errorf("suspected: %v, want %v", k.any(), c.want)
+				time.Sleep(checkTTL)
+				if k.anySuspects() != c.want {
+					t.Errorf("suspected: %v, want %v", k.anySuspects(), c.want)
 				}
 				end()
 				running.Wait()
 				if len(k.checks) != 0 {
-					t.Errorf("%d endpoints are in doubt for ever", len(k.checks))
+					t.Errorf("%d endpoints are still under check", len(k.checks))
 				}
 			})
 		})
 	}
 }
 
-// TestLossesAfterAnEnd has a request break off that was sent to an endpoint after another
-// had broken off there.
+// TestLossesAfterAnEnd breaks off a request that was sent to an endpoint after another
+// request had broken off there.
 func TestLossesAfterAnEnd(t *testing.T) {
 	cases := map[string]struct {
 		answer error
-		// turned is that the endpoint ends before the second is sent.
-		turned bool
-		born   int64
-		looked int
-		want   bool
+		// endsBetween ends the endpoint before the second request is sent.
+		endsBetween bool
+		born        int64
+		probes      int
+		want        bool
 	}{
-		"it had ended":                          {answer: errRefused, born: 1, looked: 1},
-		"it had ended, and starts are not told": {answer: errRefused, looked: 2, want: true},
-		"it listened, and ends":                 {turned: true, born: 1, looked: 2, want: true},
-		"it listened, and listens still":        {born: 1, looked: 2},
-		"it could not be reached":               {answer: errSilent, born: 1, looked: 1},
+		"it had ended":                           {answer: errRefused, born: 1, probes: 1},
+		"it had ended, and its start is unknown": {answer: errRefused, probes: 2, want: true},
+		"it listened, and ends":                  {endsBetween: true, born: 1, probes: 2, want: true},
+		"it listened, and still listens":         {born: 1, probes: 2},
+		"it could not be reached":                {answer: errSilent, born: 1, probes: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -420,27 +422,27 @@
 				ctx, end := context.WithCancel(t.Context())
 				var running sync.WaitGroup
 				running.Go(func() { _ = k.Run(ctx) })
-				k.broke(loss{fingerprint: other, endpoint: "e1", ran: time.Second})
+				k.reportLoss(loss{fingerprint: other, endpoint: "e1", ran: time.Second})
 				time.Sleep(time.Second)
-				if c.turned {
+				if c.endsBetween {
 					f.mutex.Lock()
 					f.answers["a1"] = errRefused
 					f.mutex.Unlock()
 				}
-				k.broke(loss{fingerprint: poisoned, endpoint: "e1", ran: time.Millisecond})
+				k.reportLoss(loss{fingerprint: poisoned, endpoint: "e1", ran: time.Millisecond})
 				time.Sleep(time.Second)
 				end()
 				running.Wait()
-				if _, suspected := k.ledger.Suspect(poisoned); suspected != c.want || f.looked != c.looked {
-					t.Errorf("suspected: %v, want %v; looked %d times, want %d", suspected, c.want, f.looked, c.looked)
+				if _, suspected := k.ledger.Suspect(poisoned); suspected != c.want || f.probes != c.probes {
+					t.Errorf("suspected: %v, want %v; %d probes, want %d", suspected, c.want, f.probes, c.probes)
 				}
 			})
 		})
 	}
 }
 
-// TestLossesLookedAtLate has all that ran at an endpoint break off at once, and a busy box
-// that gets to them one by one: each was sent before the end, however late it is looked at.
+// TestLossesLookedAtLate lets two requests break off at the same time, and a busy box
+// handle them one by one: each was sent before the end, however late it is handled.
 func TestLossesLookedAtLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1)
@@ -449,19 +451,19 @@
 		ctx, end := context.WithCancel(t.Context())
 		broke := time.Now()
 		for _, fingerprint := range []poison.Fingerprint{other, poisoned} {
-			k.doubt(ctx, loss{fingerprint: fingerprint, endpoint: "e1", at: broke, ran: 10 * time.Millisecond, status: status})
+			k.handleLoss(ctx, loss{fingerprint: fingerprint, endpoint: "e1", at: broke, ran: 10 * time.Millisecond, status: status})
 			time.Sleep(50 * time.Millisecond)
 		}
-		k.takeProbe(<-k.probed)
+		k.handleProbe(<-k.probed)
 		if _, suspected := k.ledger.Suspect(poisoned); !suspected {
-			t.Error("the request that was looked at last is not suspected")
+			t.Error("the request that was handled last is not suspected")
 		}
 		end()
 	})
 }
 
-// TestManyLossesOneLook has all that ran at an endpoint break off: it is looked for once,
-// and exchanges that break off later count too.
+// TestManyLossesOneLook breaks off all requests of an endpoint: the endpoint is probed
+// once, and exchanges that break off later count too.
 func TestManyLossesOneLook(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1)
@@ -470,17 +472,17 @@
 		var running sync.WaitGroup
 		running.Go(func() { _ = k.Run(ctx) })
 		lose := func(i int) {
-			k.broke(loss{fingerprint: poison.FingerprintOf(poison.Request{Target: fmt.Sprint(i)}), endpoint: "e1", ran: settleFor})
+			k.reportLoss(loss{fingerprint: poison.FingerprintOf(poison.Request{Target: fmt.Sprint(i)}), endpoint: "e1", ran: checkTTL})
 		}
 		const losses = 64
 		for i := range losses {
 			lose(i)
 		}
-		time.Sleep(settleFor / 2)
+		time.Sleep(checkTTL / 2)
 		lose(losses)
 		synctest.Wait()
-		if f.looked != 1 || k.Status().Suspects != losses+1 {
-			t.Errorf("looked %d times, %d suspects", f.looked, k.Status().Suspects)
+		if f.probes != 1 || k.Status().Suspects != losses+1 {
+			t.Errorf("%d probes, %d suspects", f.probes, k.Status().Suspects)
 		}
 		end()
 		running.Wait()
--- a/coordination/quarantine/request.go
+++ b/coordination/quarantine/request.go
@@ -10,8 +10,9 @@
 	"runridge.example/runridge/state/poison"
 )
 
-// Request is one request as the quarantine sees it: what drives it asks before each send
-// and tells what came of it. A nil one is suspected of nothing. One goroutine uses it.
+// Request is one request as the quarantine sees it: the code that drives it checks
+// Poisonous before each send, and reports the result. A nil Request is never suspected. It
+// is used by one goroutine.
 type Request struct {
 	k           *Keeper
 	id, service string
@@ -19,8 +20,8 @@
 	made        *poison.Fingerprint
 }
 
-// Request begins to see a request of a service under its caller's id. There is none without
-// a keeper, nor where it is not known what another would have to ask to be the same.
+// Request returns the Request for a caller's ID and a service. It returns nil without a
+// keeper, or if the target is unknown, so that equal requests could not be recognized.
 func (k *Keeper) Request(id, service string, asks poison.Request) *Request {
 	if k == nil || asks.Target == "" {
 		return nil
@@ -28,7 +29,7 @@
 	return &Request{k: k, id: id, service: service, asks: asks}
 }
 
-// Fingerprint is shared with the requests that ask the same.
+// Fingerprint returns the fingerprint of the request; equal requests share it.
 func (r *Request) Fingerprint() poison.Fingerprint {
 	if r == nil {
 		return poison.Fingerprint{}
@@ -40,9 +41,10 @@
 	return *r.made
 }
 
-// Poisonous says whether the request must reach no endpoint any more, and counts that.
+// Poisonous reports whether the request must not reach an endpoint any more, and counts the
+// refusal.
 func (r *Request) Poisonous() bool {
-	if r == nil || !r.k.any() || !r.k.blocked(r.Fingerprint()) {
+	if r == nil || !r.k.anySuspects() || !r.k.blocked(r.Fingerprint()) {
 		return false
 	}
 	if r.k.cfg.Metrics != nil {
@@ -51,17 +53,18 @@
 	return true
 }
 
-// BrokeOff takes in that an exchange with an endpoint broke off so long after its send.
+// BrokeOff reports that an exchange with an endpoint broke off, the given time after its
+// send.
 func (r *Request) BrokeOff(endpoint string, how adapter.Break, ran time.Duration) {
 	if r == nil || !how.Cut() {
 		return
 	}
-	r.k.broke(loss{request: r.id, fingerprint: r.Fingerprint(), endpoint: endpoint, ran: ran})
+	r.k.reportLoss(loss{request: r.id, fingerprint: r.Fingerprint(), endpoint: endpoint, ran: ran})
 }
 
-// Answered takes in that an endpoint has answered the request whole.
+// Answered reports that an endpoint has answered the request in full.
 func (r *Request) Answered() {
-	if r != nil && r.k.any() {
+	if r != nil && r.k.anySuspects() {
 		r.k.answered(r.Fingerprint())
 	}
 }
--- a/coordination/quarantine/share.go
+++ b/coordination/quarantine/share.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// rankKey orders the boxes for how an update goes round.
+	// rankKey is the key by which boxes are ordered for forwarding updates.
 	rankKey = "suspects"
-	// pullPause keeps one lag from being asked about with every message.
-	pullPause = 500 * time.Millisecond
+	// pullInterval is the least time between two pulls, so that one difference does not
+	// cause a pull with every message.
+	pullInterval = 500 * time.Millisecond
 )
 
-// treeKey is what the tree of an origin's updates is drawn from.
+// treeKey returns the key of the tree for an origin's updates.
 func treeKey(origin string) string { return rankKey + "@" + origin }
 
-// publish sends suspects that this box has learnt something of to all others.
-func (k *Keeper) publish(told []poison.Suspect) {
-	for part := range slices.Chunk(told, poison.MaxSent) {
+// publish sends suspects that this box has news of to all other boxes.
+func (k *Keeper) publish(news []poison.Suspect) {
+	for part := range slices.Chunk(news, poison.MaxSent) {
 		u := poison.Update{Origin: k.cfg.Self, Suspects: part}
-		k.pass(u)
+		k.forward(u)
 		if k.cfg.Heads == nil {
 			continue
 		}
@@ -35,49 +36,50 @@
 	}
 }
 
-// pass sends an update to this box's children in its region's tree.
-func (k *Keeper) pass(u poison.Update) {
+// forward sends an update to this box's children in its region's tree.
+func (k *Keeper) forward(u poison.Update) {
 	for _, box := range spread.Below(spread.Draw(k.cfg.Tree, k.cfg.Ranked, treeKey(u.Origin), u.Origin), k.cfg.Self) {
 		k.cfg.Peers.SendSuspects(box, u)
 	}
 }
 
-// Receive takes an update from another box. What is new here goes on to the boxes after
-// this one; one that misses it for that notices by the digest.
+// Receive applies an update from another box. An update with news is forwarded to the boxes
+// below this one; a box that misses it because of that notices by the digest.
 func (k *Keeper) Receive(from string, u poison.Update) {
 	if u.Origin == k.cfg.Self {
 		return
 	}
-	told := k.learn(from, func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) {
+	news := k.update(from, func(now time.Time, l poison.Ledger) (poison.Ledger, []poison.Suspect) {
 		return l.With(now, u.Suspects...)
 	})
-	if u.Origin != "" && len(told) > 0 {
-		k.pass(u)
+	if u.Origin != "" && len(news) > 0 {
+		k.forward(u)
 	}
 }
 
-// Digest is what this box names to others with each membership message.
+// Digest returns the digest of the ledger, which each membership message carries to other
+// boxes.
 func (k *Keeper) Digest() uint64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.digest
 }
 
-// Heard takes in the digest that another box names, and asks it if it may know more.
+// Heard receives the digest of another box, and pulls from it if it differs.
 func (k *Keeper) Heard(from string, digest uint64) {
 	now := k.cfg.Now()
 	k.mutex.Lock()
-	ask := digest != 0 && digest != k.digest && now.Sub(k.pulled) >= pullPause
-	if ask {
+	pull := digest != 0 && digest != k.digest && now.Sub(k.pulled) >= pullInterval
+	if pull {
 		k.pulled = now
 	}
 	k.mutex.Unlock()
-	if ask {
+	if pull {
 		k.cfg.Peers.SendSuspectsPull(from)
 	}
 }
 
-// Pull answers a box that asks for what is known here.
+// Pull sends all that this box knows to a box that asks for it.
 func (k *Keeper) Pull(from string) {
 	k.mutex.Lock()
 	known := k.ledger.PassedOn(k.cfg.Now())
@@ -87,9 +89,9 @@
 	}
 }
 
-// Status is what a box tells its operators of poison requests.
+// Status is the state of the ledger, for operators.
 type Status struct {
-	// Suspects is how many requests endpoints have ended in the middle of.
+	// Suspects is the number of requests under which endpoints have ended.
 	Suspects int `json:"suspects"`
 	// Blocked are the poison requests among them.
 	Blocked []BlockedStatus `json:"blocked,omitempty"`
@@ -98,12 +100,13 @@
 // BlockedStatus is one poison request.
 type BlockedStatus struct {
 	Fingerprint string `json:"fingerprint"`
-	// Ends is how many endpoints ended under it, and SeenMS how long ago it last came.
+	// Ends is the number of endpoints that ended under it, and SeenMS the time since it
+	// last came, in milliseconds.
 	Ends   int   `json:"ends"`
 	SeenMS int64 `json:"seen_ms"`
 }
 
-// Status tells what this box knows.
+// Status returns the state of the ledger.
 func (k *Keeper) Status() Status {
 	now := k.cfg.Now()
 	k.mutex.Lock()
--- a/tests/mutants/poison.go
+++ b/tests/mutants/poison.go
@@ -37,7 +37,7 @@
 	},
 	{
 		name: "poison_by_broken_connections", file: checkFile, pkg: quarantineTests, args: only("TestWhatEndsAnEndpoint"),
-		old: "		c.doubt = listening\n", fault: "		k.end(c, \"broken\")\n",
+		old: "		c.state = stateListening\n", fault: "		k.markEnded(c, \"broken\")\n",
 	},
 	{
 		name: "poison_behind_forwarders", file: "transport/reach/reach.go", pkg: "./transport/reach", args: only("TestListens"),
@@ -49,11 +49,11 @@
 	},
 	{
 		name: "poison_missed_for_ever", file: suspectsFile, pkg: quarantineTests, args: only("TestMissedEndsAreAskedFor"),
-		old: "ask := digest != 0 && digest != k.digest", fault: "ask := false && digest != k.digest",
+		old: "pull := digest != 0 && digest != k.digest", fault: "pull := false && digest != k.digest",
 	},
 	{
 		name: "poison_not_passed_on", file: suspectsFile, pkg: quarantineTests, args: only("TestEndsAtDifferentBoxesBlockOnAll"),
-		old: "if u.Origin != \"\" && len(told) > 0 {", fault: "if len(told) < 0 {",
+		old: "if u.Origin != \"\" && len(news) > 0 {", fault: "if len(news) < 0 {",
 	},
 	{
 		name: "poison_that_waited_is_sent", file: "coordination/relay/exchange.go", pkg: relayTests, args: only("TestPoisonReachesNoEndpoint"),
