--- a/coordination/owner/owner.go
+++ b/coordination/owner/owner.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package owner says what is known of the process that owns a request. Only a
-// proof counts as its end, since a box that others cannot reach may well be
+// Package owner reports what is known of the process that owns a request. Only a proof
+// counts as the end of the process, since a box that others cannot reach may well be
 // serving.
 package owner
 
@@ -15,20 +15,20 @@
 	"runridge.example/runridge/state/member"
 )
 
-// Verdict is what is known of an owner.
+// Verdict is what is known of the process that owns a request.
 type Verdict uint8
 
 const (
 	// There means that the owner can be asked.
 	There Verdict = iota
-	// Silent means that it does not answer, which proves nothing.
+	// Silent means that the owner does not answer, which proves nothing.
 	Silent
-	// Gone means that it is proved to have ended.
+	// Gone means that the owner is proved to have ended.
 	Gone
 )
 
-// Prober proves that no process listens at an address any more: the machine
-// answered, and refused the connection. Silence proves nothing.
+// Prober proves that no process listens at an address any more: the machine answered, and
+// refused the connection. A missing answer proves nothing.
 type Prober interface {
 	Refused(ctx context.Context, address string) bool
 }
@@ -39,7 +39,8 @@
 	Prober  Prober
 }
 
-// Judge gives verdicts and remembers proofs.
+// Judge decides whether the owner of a request still runs, and caches proofs that it does
+// not.
 type Judge struct {
 	cfg    Config
 	mutex  sync.Mutex
@@ -52,17 +53,17 @@
 	start uint64
 }
 
-// maxProofs bounds the proofs remembered.
+// maxProofs bounds the cached proofs.
 const maxProofs = 256
 
-// New makes a judge.
+// New returns a Judge without cached proofs.
 func New(cfg Config) *Judge {
 	return &Judge{cfg: cfg, proofs: make(map[process]bool)}
 }
 
-// Of says what is known of a request's owner. The proofs are a newer process
-// under its name, a refused connection, and the platform's word that the box
-// is no more.
+// Of returns what is known of the owner of a request. A newer process under the owner's
+// name, a refused connection, and a platform list without the box prove that the owner has
+// ended.
 func (j *Judge) Of(ctx context.Context, id lifecycle.RequestID) Verdict {
 	view := j.cfg.Members()
 	b, known := view.Box(id.Box)
@@ -77,15 +78,16 @@
 		return Gone
 	case b.State != member.Dead:
 		return There
-	case unlisted || j.refused(ctx, b):
+	case unlisted || j.connectionRefused(ctx, b):
 		return Gone
 	default:
 		return Silent
 	}
 }
 
-// refused asks for a proof; one that was had is remembered.
-func (j *Judge) refused(ctx context.Context, b member.Box) bool {
+// connectionRefused reports whether the box refuses connections, and caches a positive
+// answer.
+func (j *Judge) connectionRefused(ctx context.Context, b member.Box) bool {
 	p := process{box: b.Name, start: b.Start}
 	j.mutex.Lock()
 	proved := j.proofs[p]
