--- a/coordination/held/held.go
+++ b/coordination/held/held.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package held bounds the bytes that a box holds in memory on behalf of its callers: bodies
-// that come in or wait for their request's end, answers that are read whole, and answers
-// that a caller has not read yet. All draw from one budget. Where it is used up, those that
-// move the slowest give way.
+// Package held bounds the bytes that a box holds in memory on behalf of its callers:
+// request bodies that are being received or kept until their request ends, answers that are
+// read whole, and answers that a caller has not read yet. All draw from one budget. When it
+// is exhausted, the slowest holds are evicted.
 package held
 
 import (
@@ -14,72 +14,74 @@
 	"runridge.example/runridge/modules/log"
 )
 
-// Kind is what bytes are held for.
+// Kind is the purpose for which bytes are held.
 type Kind uint8
 
 const (
-	// Upload is a body on its way from a caller.
+	// Upload is a body that is being received from a caller.
 	Upload Kind = iota
-	// Body is a whole body, until its request ends.
+	// Body is a complete body, kept until its request ends.
 	Body
-	// Answer is what is read of an endpoint's answer before its caller gets any of it.
+	// Answer is the part of an endpoint's answer that is read before its caller gets any of
+	// it.
 	Answer
-	// Unread is what a caller has not read yet.
+	// Unread is data that a caller has not read yet.
 	Unread
 	kinds
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	return [kinds]string{"upload", "body", "answer", "unread"}[k]
 }
 
 // Config configures a Budget.
 type Config struct {
-	// Bytes is what may be held in all.
+	// Bytes is the size of the budget.
 	Bytes int64
 	Log   log.Logger
-	// Now is the clock; nil is that of the machine.
+	// Now is the clock; nil means the system clock.
 	Now func() time.Time
 }
 
-// Budget is the bytes that a box may hold. A nil one has no bound.
+// Budget accounts for the bytes that a box may hold. A nil Budget has no bound.
 type Budget struct {
 	cfg   Config
 	mutex sync.Mutex
-	// used is what is held now, most the most that was, both in bytes.
-	used, most int64
+	// used is the number of bytes held now, and peak the most that were ever held.
+	used, peak int64
 	byKind     [kinds]int64
-	// yielding are the holds that may have to give way.
-	yielding map[*Hold]struct{}
-	gaveWay  uint64
-	denied   uint64
+	// evictable are the holds that may be evicted.
+	evictable map[*Hold]struct{}
+	evicted   uint64
+	denied    uint64
 }
 
-// New makes a budget.
+// New returns a budget of which nothing is used.
 func New(cfg Config) *Budget {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	return &Budget{cfg: cfg, yielding: make(map[*Hold]struct{})}
+	return &Budget{cfg: cfg, evictable: make(map[*Hold]struct{})}
 }
 
-// Status is what is held.
+// Status is the state of a budget.
 type Status struct {
-	// Bytes may be held, Used are held now, and Most is the most that were.
+	// Bytes is the size of the budget, Used the bytes held now, and Most the most that were
+	// ever held.
 	Bytes int64 `json:"bytes"`
 	Used  int64 `json:"used"`
 	Most  int64 `json:"most"`
-	// ByKind is what is held now by what for.
+	// ByKind is the number of bytes held now, by kind.
 	ByKind map[string]int64 `json:"by_kind"`
-	// Yielding is how many holds may have to give way.
+	// Yielding is the number of holds that may be evicted.
 	Yielding int `json:"yielding"`
-	// GaveWay counts those that were made to give way, Denied what found no room.
+	// GaveWay counts the holds that were evicted, and Denied the calls of Take that failed.
 	GaveWay uint64 `json:"gave_way"`
 	Denied  uint64 `json:"denied"`
 }
 
-// Status tells what is held now.
+// Status returns the state of the budget.
 func (b *Budget) Status() Status {
 	if b == nil {
 		return Status{}
@@ -87,8 +89,8 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	s := Status{
-		Bytes: b.cfg.Bytes, Used: b.used, Most: b.most,
-		ByKind: make(map[string]int64, kinds), Yielding: len(b.yielding), GaveWay: b.gaveWay, Denied: b.denied,
+		Bytes: b.cfg.Bytes, Used: b.used, Most: b.peak,
+		ByKind: make(map[string]int64, kinds), Yielding: len(b.evictable), GaveWay: b.evicted, Denied: b.denied,
 	}
 	for k, n := range b.byKind {
 		s.ByKind[Kind(k).String()] = n
@@ -96,38 +98,38 @@
 	return s
 }
 
-// Hold is what is held for one request in one place. A nil one holds without a bound. One
-// goroutine uses it.
+// Hold is the memory that is held for one request in one place. A nil Hold has no bound. It
+// is used by one goroutine.
 type Hold struct {
 	budget *Budget
 	kind   Kind
-	// request is the caller's id, for the log.
+	// request is the caller's ID, for the log.
 	request string
-	giveWay func()
-	// The mutex of the budget guards what follows.
+	onEvict func()
+	// The budget's mutex guards the fields below.
 	bytes int64
 	pace  pace
 	ended bool
 }
 
-// Open begins a hold. Where giveWay is not nil, the hold may have to end while it moves
-// slowly: giveWay is then called, on a goroutine of its own.
-func (b *Budget) Open(kind Kind, request string, giveWay func()) *Hold {
+// Open returns a new, empty hold. If onEvict is not nil, the hold may be evicted while it
+// is slow; onEvict is then called on its own goroutine.
+func (b *Budget) Open(kind Kind, request string, onEvict func()) *Hold {
 	if b == nil {
 		return nil
 	}
-	h := &Hold{budget: b, kind: kind, request: request, giveWay: giveWay}
+	h := &Hold{budget: b, kind: kind, request: request, onEvict: onEvict}
 	h.pace.begun = b.cfg.Now()
-	if giveWay != nil {
+	if onEvict != nil {
 		b.mutex.Lock()
-		b.yielding[h] = struct{}{}
+		b.evictable[h] = struct{}{}
 		b.mutex.Unlock()
 	}
 	return h
 }
 
-// Take holds so many bytes more. Where there is no room, slower holds give way; false says
-// that there was none to be had, and that nothing was taken.
+// Take reserves n more bytes, and evicts slower holds to make room. It returns false, with
+// nothing reserved, if there is not enough room or the hold has ended.
 func (h *Hold) Take(n int) bool {
 	if h == nil {
 		return true
@@ -150,7 +152,7 @@
 	return true
 }
 
-// TryTake is Take for what can wait: nothing gives way to it.
+// TryTake is like Take for data that can wait: it evicts nothing.
 func (h *Hold) TryTake(n int) bool {
 	if h == nil {
 		return true
@@ -164,7 +166,7 @@
 	return true
 }
 
-// Moved notes that so many bytes came from the caller, or went to it.
+// Moved records that n bytes came from the caller or went to it.
 func (h *Hold) Moved(n int) {
 	if h == nil {
 		return
@@ -174,7 +176,7 @@
 	h.pace.moved += int64(n)
 }
 
-// Give gives bytes back.
+// Give releases n bytes.
 func (h *Hold) Give(n int) {
 	if h == nil {
 		return
@@ -186,7 +188,8 @@
 	}
 }
 
-// Complete says that the body of an upload is whole: it is held until its request ends.
+// Complete marks the body of an upload as complete: the hold cannot be evicted any more,
+// and counts as Body until its request ends.
 func (h *Hold) Complete() {
 	if h == nil {
 		return
@@ -197,13 +200,13 @@
 	if h.ended {
 		return
 	}
-	delete(b.yielding, h)
+	delete(b.evictable, h)
 	b.byKind[h.kind] -= h.bytes
 	h.kind = Body
 	b.byKind[h.kind] += h.bytes
 }
 
-// Close gives all bytes back.
+// Close ends the hold and releases all its bytes.
 func (h *Hold) Close() {
 	if h == nil {
 		return
@@ -213,34 +216,35 @@
 	h.end()
 }
 
-// fits says whether so many bytes more may be held. The mutex is held.
+// fits reports whether n more bytes fit the budget. The caller holds the mutex.
 func (b *Budget) fits(n int) bool { return b.used+int64(n) <= b.cfg.Bytes }
 
-// add counts bytes of a hold. The mutex is held.
+// add adds n to the bytes of a hold. The caller holds the mutex.
 func (h *Hold) add(n int64) {
 	b := h.budget
 	h.bytes += n
 	b.byKind[h.kind] += n
 	b.used += n
-	b.most = max(b.most, b.used)
+	b.peak = max(b.peak, b.used)
 }
 
-// end ends a hold. The mutex is held.
+// end ends a hold. The caller holds the mutex.
 func (h *Hold) end() {
 	if h.ended {
 		return
 	}
 	h.add(-h.bytes)
 	h.ended = true
-	delete(h.budget.yielding, h)
+	delete(h.budget.evictable, h)
 }
 
-// slowest is the hold that gives way to another; nil is none. The mutex is held.
+// slowest returns the slowest hold that may be evicted for h, or nil. The caller holds the
+// mutex.
 func (b *Budget) slowest(h *Hold) *Hold {
 	var slow *Hold
 	now := b.cfg.Now()
-	for other := range b.yielding {
-		if other == h || other.bytes == 0 || !other.pace.yieldsTo(now, h.paceIn()) {
+	for other := range b.evictable {
+		if other == h || other.bytes == 0 || !other.pace.yieldsTo(now, h.evictablePace()) {
 			continue
 		}
 		if slow == nil || other.pace.rate(now) < slow.pace.rate(now) {
@@ -250,17 +254,18 @@
 	return slow
 }
 
-// paceIn is the hold's pace if it may have to give way itself; nil is that it may not.
-func (h *Hold) paceIn() *pace {
-	if h.giveWay == nil {
+// evictablePace returns the hold's pace if the hold itself may be evicted, and nil
+// otherwise.
+func (h *Hold) evictablePace() *pace {
+	if h.onEvict == nil {
 		return nil
 	}
 	return &h.pace
 }
 
-// evict ends a hold for others. The mutex is held.
+// evict ends a hold to make room for others. The caller holds the mutex.
 func (b *Budget) evict(h *Hold) {
-	b.gaveWay++
+	b.evicted++
 	b.cfg.Log.WithFields(log.Fields{
 		log.FieldRequest: h.request,
 		"kind":           h.kind.String(),
@@ -269,5 +274,5 @@
 		"ms":             b.cfg.Now().Sub(h.pace.begun).Milliseconds(),
 	}).Warn("held_bytes_gave_way")
 	h.end()
-	go h.giveWay()
+	go h.onEvict()
 }
--- a/coordination/held/held_test.go
+++ b/coordination/held/held_test.go
@@ -17,32 +17,32 @@
 	"runridge.example/runridge/modules/log"
 )
 
-// manual is a clock that a test sets.
-type manual struct{ now time.Time }
+// manualClock is a clock that a test sets.
+type manualClock struct{ now time.Time }
 
-func newManual() *manual { return &manual{now: time.Unix(1000, 0)} }
+func newManualClock() *manualClock { return &manualClock{now: time.Unix(1000, 0)} }
 
-func (m *manual) pass(d time.Duration) { m.now = m.now.Add(d) }
+func (m *manualClock) advance(d time.Duration) { m.now = m.now.Add(d) }
 
-func (m *manual) budget(size int64) *Budget {
+func (m *manualClock) budget(size int64) *Budget {
 	return New(Config{Bytes: size, Log: log.Discard(), Now: func() time.Time { return m.now }})
 }
 
 func TestPaceYields(t *testing.T) {
 	now := time.Unix(1000, 0)
 	old := func(moved int64) pace { return pace{begun: now.Add(-10 * time.Second), moved: moved} }
-	young := pace{begun: now.Add(-leastAge / 2)}
+	young := pace{begun: now.Add(-minAge / 2)}
 	cases := map[string]struct {
 		pace  pace
 		other *pace
 		want  bool
 	}{
-		"a young one is left alone":             {young, nil, false},
-		"an old one yields to one without pace": {old(1 << 20), nil, true},
-		"an old one yields to a young one":      {old(1 << 20), &young, true},
-		"a slower one yields":                   {old(10), &pace{begun: now.Add(-10 * time.Second), moved: 20}, true},
-		"a faster one does not":                 {old(30), &pace{begun: now.Add(-10 * time.Second), moved: 20}, false},
-		"one that is as fast does not":          {old(20), &pace{begun: now.Add(-10 * time.Second), moved: 20}, false},
+		"a young hold is not evicted":              {young, nil, false},
+		"an old hold yields to one without a pace": {old(1 << 20), nil, true},
+		"an old hold yields to a young one":        {old(1 << 20), &young, true},
+		"a slower hold yields":                     {old(10), &pace{begun: now.Add(-10 * time.Second), moved: 20}, true},
+		"a faster hold does not yield":             {old(30), &pace{begun: now.Add(-10 * time.Second), moved: 20}, false},
+		"an equally fast hold does not yield":      {old(20), &pace{begun: now.Add(-10 * time.Second), moved: 20}, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -54,8 +54,8 @@
 }
 
 func TestSlowestGivesWay(t *testing.T) {
-	convey.Convey("Where there is no room the slowest gives way, the young are left alone, and a whole body stays", t, func() {
-		m := newManual()
+	convey.Convey("Without room the slowest hold is evicted, but neither young ones nor a complete body", t, func() {
+		m := newManualClock()
 		b := m.budget(300)
 		gone := make(chan string, 3)
 		open := func(name string) *Hold {
@@ -71,7 +71,7 @@
 		young := b.Open(Upload, "young", func() { gone <- "young" })
 		convey.So(young.Take(100), convey.ShouldBeFalse)
 
-		m.pass(leastAge)
+		m.advance(minAge)
 		young.Close()
 		young = b.Open(Upload, "young", func() { gone <- "young" })
 		convey.So(young.TryTake(100), convey.ShouldBeFalse)
@@ -91,11 +91,11 @@
 	})
 }
 
-// TestBudgetOracle has holds taken and given at random: never more than the bound is held, and
-// what is held is the sum of the holds that have not ended.
+// TestBudgetOracle takes and gives bytes at random and checks that never more than the
+// bound is held, and that the bytes held are the sum over the holds that have not ended.
 func TestBudgetOracle(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		m := newManual()
+		m := newManualClock()
 		bound := int64(rapid.IntRange(1, 1000).Draw(r, "bound"))
 		b := m.budget(bound)
 		type entry struct {
@@ -108,11 +108,11 @@
 		r.Repeat(map[string]func(*rapid.T){
 			"open": func(r *rapid.T) {
 				e := &entry{gone: make(chan struct{}, 1)}
-				var giveWay func()
+				var onEvict func()
 				if rapid.Bool().Draw(r, "yields") {
-					giveWay = func() { e.gone <- struct{}{} }
+					onEvict = func() { e.gone <- struct{}{} }
 				}
-				e.hold = b.Open(Upload, "", giveWay)
+				e.hold = b.Open(Upload, "", onEvict)
 				all = append(all, e)
 			},
 			"take": func(r *rapid.T) {
@@ -155,7 +155,7 @@
 				}
 			},
 			"pass": func(r *rapid.T) {
-				m.pass(time.Duration(rapid.IntRange(0, 3000).Draw(r, "ms")) * time.Millisecond)
+				m.advance(time.Duration(rapid.IntRange(0, 3000).Draw(r, "ms")) * time.Millisecond)
 			},
 			"": func(r *rapid.T) {
 				sum := int64(0)
@@ -179,23 +179,23 @@
 }
 
 func TestRead(t *testing.T) {
-	body := bytes.Repeat([]byte("b"), 3*firstRoom)
+	body := bytes.Repeat([]byte("b"), 3*initialSize)
 	cases := map[string]struct {
 		length int64
 		limit  int
 		bound  int64
 		err    error
 	}{
-		"a known length":                    {int64(len(body)), len(body), 1 << 20, nil},
-		"an unknown length":                 {Unknown, len(body), 1 << 20, nil},
-		"longer than allowed":               {Unknown, len(body) - 1, 1 << 20, ErrTooLong},
-		"no room at all":                    {Unknown, len(body), firstRoom - 1, ErrNoRoom},
-		"no room for the rest":              {Unknown, len(body), 2 * firstRoom, ErrNoRoom},
-		"room for just what was told of it": {int64(len(body)), 1 << 20, int64(len(body)) + 1, nil},
+		"a known length":                     {int64(len(body)), len(body), 1 << 20, nil},
+		"an unknown length":                  {Unknown, len(body), 1 << 20, nil},
+		"longer than allowed":                {Unknown, len(body) - 1, 1 << 20, ErrTooLong},
+		"no room at all":                     {Unknown, len(body), initialSize - 1, ErrNoRoom},
+		"no room for the rest":               {Unknown, len(body), 2 * initialSize, ErrNoRoom},
+		"room for just the announced length": {int64(len(body)), 1 << 20, int64(len(body)) + 1, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newManual().budget(c.bound)
+			b := newManualClock().budget(c.bound)
 			h := b.Open(Upload, "", nil)
 			got, err := Read(iotest.OneByteReader(bytes.NewReader(body)), h, c.length, c.limit)
 			if !errors.Is(err, c.err) {
@@ -209,10 +209,10 @@
 			}
 		})
 	}
-	t.Run("what is announced and does not come takes little", func(t *testing.T) {
-		b := newManual().budget(1 << 20)
+	t.Run("a body that is announced and does not come takes little", func(t *testing.T) {
+		b := newManualClock().budget(1 << 20)
 		_, err := Read(io.MultiReader(bytes.NewReader(body[:1]), iotest.ErrReader(io.ErrUnexpectedEOF)), b.Open(Upload, "", nil), 1<<19, 1<<20)
-		if !errors.Is(err, io.ErrUnexpectedEOF) || b.Status().Most > firstRoom {
+		if !errors.Is(err, io.ErrUnexpectedEOF) || b.Status().Most > initialSize {
 			t.Fatalf("error %v, %d bytes held", err, b.Status().Most)
 		}
 	})
--- a/coordination/held/pace.go
+++ b/coordination/held/pace.go
@@ -5,28 +5,28 @@
 
 import "time"
 
-// leastAge is how long a hold is left alone: before that its pace says little.
-const leastAge = time.Second
+// minAge is the age below which a hold is not evicted: its mean pace says little before.
+const minAge = time.Second
 
-// pace is how fast the bytes of a hold come or go.
+// pace is the speed at which the bytes of a hold are transferred.
 type pace struct {
 	begun time.Time
-	// moved is the bytes that came or went.
+	// moved is the number of bytes transferred.
 	moved int64
 }
 
-// rate is the mean pace so far, in bytes a second.
+// rate returns the mean pace so far, in bytes per second.
 func (p pace) rate(now time.Time) float64 {
 	return float64(p.moved) / max(now.Sub(p.begun), time.Nanosecond).Seconds()
 }
 
-// yieldsTo says whether a hold of this pace gives way to one of another pace; nil is one
-// that moves as fast as this box.
+// yieldsTo reports whether a hold of this pace is evicted for one of another pace. A nil
+// pace stands for a hold that cannot be evicted and moves as fast as this box.
 func (p pace) yieldsTo(now time.Time, other *pace) bool {
-	if now.Sub(p.begun) < leastAge {
+	if now.Sub(p.begun) < minAge {
 		return false
 	}
-	if other == nil || now.Sub(other.begun) < leastAge {
+	if other == nil || now.Sub(other.begun) < minAge {
 		return true
 	}
 	return p.rate(now) < other.rate(now)
--- a/coordination/held/read.go
+++ b/coordination/held/read.go
@@ -9,35 +9,36 @@
 )
 
 var (
-	// ErrNoRoom is returned when the budget has no room for more.
+	// ErrNoRoom is returned when the budget has no room for more data.
 	ErrNoRoom = errors.New("no room for what is read")
-	// ErrTooLong is returned when there is more than the limit.
+	// ErrTooLong is returned when the data is longer than the limit.
 	ErrTooLong = errors.New("longer than allowed")
 )
 
-// firstRoom is the room that is made before anything has come, in bytes. What a caller only
-// announces takes no more.
-const firstRoom = 16 << 10
+// initialSize is the size of the buffer before any data has come, in bytes. A body that is
+// announced but not sent takes no more than that.
+const initialSize = 16 << 10
 
-// Unknown is the length of what does not tell it.
+// Unknown is the length of data that does not announce it.
 const Unknown = -1
 
-// Read reads to the end and holds the room that it makes for it, which grows as bytes come.
-// With an error it returns what it has read.
+// Read reads to the end and reserves the memory for it in h, in steps as data comes. Length
+// is the announced length or Unknown, and limit the most bytes allowed. With an error it
+// returns the data read so far.
 func Read(r io.Reader, h *Hold, length int64, limit int) ([]byte, error) {
-	// One byte more finds the end, or that there is no end.
-	most := limit + 1
+	// One more byte detects the end, or data beyond the limit.
+	maxSize := limit + 1
 	if length >= 0 && length < int64(limit) {
-		most = int(length) + 1
+		maxSize = int(length) + 1
 	}
-	size := min(most, firstRoom)
+	size := min(maxSize, initialSize)
 	if !h.Take(size) {
 		return nil, ErrNoRoom
 	}
 	data := make([]byte, 0, size)
 	for {
 		if len(data) == cap(data) {
-			next := min(2*cap(data), most)
+			next := min(2*cap(data), maxSize)
 			if !h.Take(next - cap(data)) {
 				return data, ErrNoRoom
 			}
