--- a/coordination/dedup/claimer.go
+++ b/coordination/dedup/claimer.go
@@ -17,18 +17,18 @@
 type Join struct {
 	Sequence uint64
 	ID       lifecycle.RequestID
-	// From is the number of tokens that the asker has.
+	// From is the number of tokens that the sender has already.
 	From int
 }
 
 // Piece is a part of an answer.
 type Piece struct {
 	Sequence uint64
-	// Found says that the owner knows the request.
+	// Found reports whether the owner knows the request.
 	Found  bool
 	From   int
 	Tokens []string
-	// Ended says that nothing follows; the rest says how it ended.
+	// Ended reports that nothing follows; the fields below say how the answer ended.
 	Ended        bool
 	Phase        lifecycle.Phase
 	Ran          lifecycle.Ran
@@ -36,7 +36,7 @@
 	RetryAfterMS int
 }
 
-// Asker sends questions to other boxes; it must not block.
+// Asker sends questions to other boxes. Calls must not block.
 type Asker interface {
 	SendClaim(to string, c Claim)
 	SendJoin(to string, j Join)
@@ -44,14 +44,15 @@
 
 // ClaimerConfig configures a Claimer.
 type ClaimerConfig struct {
-	// Incarnation tells this process from earlier ones.
+	// Incarnation distinguishes this process from earlier ones of the box.
 	Incarnation uint64
 	Asker       Asker
-	// Ranked lists the boxes in their order for a key.
+	// Ranked returns the boxes in their order for a key.
 	Ranked func(key string) []string
-	// Again is how long to wait before a question is asked again.
+	// Again is the timeout of one question, and the wait before a claim that could not be
+	// decided is sent again.
 	Again time.Duration
-	// For bounds all asking.
+	// For bounds the total time of a claim.
 	For time.Duration
 }
 
@@ -60,7 +61,7 @@
 	defaultFor   = 3 * time.Second
 )
 
-// Claimer asks on behalf of this box's requests.
+// Claimer sends questions on behalf of this box's requests.
 type Claimer struct {
 	cfg      ClaimerConfig
 	mutex    sync.Mutex
@@ -69,7 +70,7 @@
 	pieces   map[uint64]chan Piece
 }
 
-// NewClaimer makes a claimer.
+// NewClaimer returns a claimer; zero times in cfg get defaults.
 func NewClaimer(cfg ClaimerConfig) *Claimer {
 	if cfg.Again <= 0 {
 		cfg.Again = defaultAgain
@@ -85,8 +86,8 @@
 	}
 }
 
-// Claim asks whether a request may run. When no box decides in time the
-// verdict is VerdictLater; then the request must not run.
+// Claim asks the first box of the record's key whether a request may run. If no box decides
+// in time, the verdict is VerdictLater, and the request must not run.
 func (c *Claimer) Claim(ctx context.Context, r dedup.Record, replace lifecycle.RequestID) Reply {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.For)
 	defer cancel()
@@ -108,15 +109,15 @@
 	return Reply{Verdict: VerdictLater}
 }
 
-// Piece asks an owner for its answer from a token on; false means that it did
-// not reply in time.
+// Piece asks the owner of a request for its answer, starting at a token; false means that
+// the owner did not reply in time.
 func (c *Claimer) Piece(ctx context.Context, id lifecycle.RequestID, from int) (Piece, bool) {
 	return ask(ctx, c, c.pieces, func(sequence uint64) {
 		c.cfg.Asker.SendJoin(id.Box, Join{Sequence: sequence, ID: id, From: from})
 	})
 }
 
-// ask sends one question and waits for its answer.
+// ask sends one question and waits up to cfg.Again for its answer.
 func ask[T any](ctx context.Context, c *Claimer, waiting map[uint64]chan T, send func(sequence uint64)) (T, bool) {
 	answer := make(chan T, 1)
 	c.mutex.Lock()
@@ -143,17 +144,18 @@
 	}
 }
 
-// Replied takes the reply to a claim; one for a question that is not open any
-// more is dropped.
+// Replied receives the reply to a claim. A reply to a question that is no longer open is
+// dropped.
 func (c *Claimer) Replied(r Reply) {
 	deliver(c, c.replies, r.Sequence, r)
 }
 
-// Answered takes a piece of an answer.
+// Answered receives a piece of an answer.
 func (c *Claimer) Answered(p Piece) {
 	deliver(c, c.pieces, p.Sequence, p)
 }
 
+// deliver passes an answer to the question that waits for it, if any.
 func deliver[T any](c *Claimer, waiting map[uint64]chan T, sequence uint64, v T) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/coordination/dedup/keeper.go
+++ b/coordination/dedup/keeper.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package dedup makes a request with an idempotency key run once, whichever
-// boxes it comes through. A key's record is made on the two boxes that rank
-// first for it before the request may start; docs/design/repeats.md has the
-// argument.
+// Package dedup ensures that a request with an idempotency key runs once, whichever boxes
+// it comes through. A key's record is created on the two boxes that rank first for the key
+// before the request may start; docs/design/repeats.md has the argument.
 package dedup
 
 import (
@@ -17,9 +16,9 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// Claim asks a key's first box whether a request may run.
+// Claim asks the first box of a key whether a request may run.
 type Claim struct {
-	// Sequence matches the reply.
+	// Sequence matches the reply to the claim.
 	Sequence uint64
 	Record   dedup.Record
 	// Replace is the owner whose record may be taken over.
@@ -34,7 +33,7 @@
 	VerdictRun Verdict = iota
 	// VerdictJoin means that another request owns the key.
 	VerdictJoin
-	// VerdictConflict means that the key stands for another request.
+	// VerdictConflict means that the key belongs to a different request.
 	VerdictConflict
 	// VerdictUncertain means that a record may have been lost.
 	VerdictUncertain
@@ -42,7 +41,7 @@
 	VerdictLater
 )
 
-// Reply answers a claim.
+// Reply is the reply to a claim.
 type Reply struct {
 	Sequence uint64
 	Verdict  Verdict
@@ -50,23 +49,23 @@
 	Once     bool
 }
 
-// Copy takes a record to the second box, and Copied is its answer.
+// Copy sends a record to the second box of its key; Copied is the reply.
 type Copy struct {
 	Sequence uint64
 	Record   dedup.Record
 	Replace  lifecycle.RequestID
 }
 
-// Copied says what the second box had.
+// Copied reports what the second box had.
 type Copied struct {
 	Sequence uint64
 	Status   dedup.Status
 	Record   dedup.Record
-	// Covers says that the second box has every record of the key.
+	// Covers reports that the second box has every record of the key.
 	Covers bool
 }
 
-// Sender sends to other boxes; it must not block.
+// Sender sends messages to other boxes. Calls must not block.
 type Sender interface {
 	SendReply(to string, r Reply)
 	SendCopy(to string, c Copy)
@@ -76,8 +75,8 @@
 // Config configures a Keeper.
 type Config struct {
 	Self string
-	// Incarnation tells this process from earlier ones: an answer to one of
-	// theirs must not be taken for an answer to a question of this one.
+	// Incarnation distinguishes this process from earlier ones of the box: an answer to one
+	// of theirs must not be taken for an answer to a question of this one.
 	Incarnation uint64
 	Store       dedup.Config
 	Sender      Sender
@@ -90,14 +89,14 @@
 const (
 	defaultCopyTimeout = 500 * time.Millisecond
 	queueSize          = 2048
-	lookEvery          = 50 * time.Millisecond
+	expiryInterval     = 50 * time.Millisecond
 )
 
 // pending is a claim that waits for the second box.
 type pending struct {
 	from  string
 	claim Claim
-	// covered says that this box itself has every record of the key.
+	// covered reports that this box itself has every record of the key.
 	covered bool
 	since   time.Time
 }
@@ -108,7 +107,7 @@
 	body any
 }
 
-// Keeper keeps records: one goroutine.
+// Keeper stores the records of the keys that this box ranks for, in one goroutine.
 type Keeper struct {
 	cfg      Config
 	queue    *ring.Ring[incoming]
@@ -118,7 +117,7 @@
 	sequence uint64
 }
 
-// NewKeeper makes the duty; Run starts it.
+// NewKeeper returns a Keeper; Run starts it.
 func NewKeeper(cfg Config) *Keeper {
 	if cfg.CopyTimeout <= 0 {
 		cfg.CopyTimeout = defaultCopyTimeout
@@ -133,41 +132,41 @@
 	}
 }
 
-// incarnationShift leaves room for the questions of one process. An
-// incarnation is a time in milliseconds, of 41 bits.
+// incarnationShift leaves 22 bits for the questions of one process. An incarnation is a
+// time in milliseconds, of 41 bits.
 const incarnationShift = 22
 
-// Receive takes a Claim, Copy or Copied from a box.
+// Receive queues a Claim, Copy or Copied from a box.
 func (k *Keeper) Receive(from string, body any) ring.Outcome {
 	return k.queue.Offer(incoming{from: from, body: body})
 }
 
-// boxSet is the boxes with duties from a moment on.
+// boxSet is the set of active boxes from a moment on.
 type boxSet []string
 
-// SetBoxes hands over the boxes with duties. Each set counts, since the keeper
-// has to know of every moment in which it did not rank for a key; if one does
-// not fit it forgets what it knew of the past.
+// SetBoxes queues a new set of active boxes. Each set counts, since the keeper has to know
+// of every moment in which this box did not rank for a key. If the queue is full, the
+// keeper no longer trusts what it knew of the past.
 func (k *Keeper) SetBoxes(boxes []string) {
 	if k.queue.Offer(incoming{body: boxSet(boxes)}) == ring.Full {
 		k.Distrust()
 	}
 }
 
-// Distrust tells that this box may have missed records.
+// Distrust reports that this box may have missed records.
 func (k *Keeper) Distrust() {
-	// One that waits already says the same.
+	// A pending signal already covers this one.
 	_ = k.distrust.Offer(struct{}{})
 }
 
-// Run is the duty. It ends with the context.
+// Run processes messages until the context ends. It always returns nil.
 func (k *Keeper) Run(ctx context.Context) error {
 	k.store.SetBoxes(time.Now(), []string{k.cfg.Self})
-	// Without a claim that waits there is nothing to look at.
+	// Without a pending claim there is nothing to expire.
 	var look <-chan time.Time
 	for {
 		if look == nil && len(k.pending) > 0 {
-			look = time.After(lookEvery)
+			look = time.After(expiryInterval)
 		}
 		select {
 		case <-ctx.Done():
@@ -175,28 +174,29 @@
 		case <-k.distrust.C():
 			k.store.Distrust(time.Now())
 		case in := <-k.queue.C():
-			k.take(time.Now(), in)
+			k.handle(time.Now(), in)
 		case now := <-look:
 			look = nil
-			k.giveUp(now)
+			k.expirePending(now)
 		}
 	}
 }
 
-func (k *Keeper) take(now time.Time, in incoming) {
+// handle applies one message.
+func (k *Keeper) handle(now time.Time, in incoming) {
 	switch body := in.body.(type) {
 	case boxSet:
 		k.store.SetBoxes(now, body)
 	case Claim:
 		k.claim(now, in.from, body)
 	case Copy:
-		k.copyHere(now, in.from, body)
+		k.handleCopy(now, in.from, body)
 	case Copied:
-		k.copied(body)
+		k.handleCopied(body)
 	}
 }
 
-// claim decides a claim, with the second box where there is one.
+// claim decides a claim, together with the second box if there is one.
 func (k *Keeper) claim(now time.Time, from string, c Claim) {
 	status, r := k.store.Claim(now, c.Record, c.Replace)
 	if status != dedup.Fresh {
@@ -215,12 +215,12 @@
 	k.cfg.Sender.SendCopy(holders[i], Copy{Sequence: k.sequence, Record: c.Record, Replace: c.Replace})
 }
 
-// decide ends a claim that is recorded wherever it must be.
+// decide answers a claim that is recorded on all boxes that must have it.
 func (k *Keeper) decide(from string, c Claim, covered bool) {
 	verdict := VerdictRun
 	replaced := c.Replace != (lifecycle.RequestID{})
 	if !covered && c.Record.Once && !replaced {
-		// An earlier record may have died with the boxes that had it.
+		// An earlier record may have been lost with the boxes that had it.
 		verdict = VerdictUncertain
 		k.store.Forget(c.Record.Key, c.Record.Owner)
 	} else {
@@ -229,7 +229,8 @@
 	k.cfg.Sender.SendReply(from, Reply{Sequence: c.Sequence, Verdict: verdict})
 }
 
-// reply ends a claim that found something else.
+// reply answers a claim that was not recorded because of what the store, here or on the
+// second box, already has.
 func (k *Keeper) reply(from string, c Claim, s dedup.Status, r dedup.Record) {
 	out := Reply{Sequence: c.Sequence, Owner: r.Owner, Once: r.Once}
 	switch s {
@@ -243,14 +244,14 @@
 	k.cfg.Sender.SendReply(from, out)
 }
 
-// copyHere keeps a record for the first box, if this box too thinks that it
-// ranks for the key.
-func (k *Keeper) copyHere(now time.Time, from string, c Copy) {
+// handleCopy stores a record for the first box, if this box agrees that it ranks for the
+// key.
+func (k *Keeper) handleCopy(now time.Time, from string, c Copy) {
 	covers := k.store.Covers(now, c.Record.Key)
 	status, r := k.store.Claim(now, c.Record, c.Replace)
 	if status == dedup.Fresh {
-		// From here on the first box may have told the owner to run, so a claim
-		// that comes to nothing here must not take the record away.
+		// From now on the first box may allow the owner to run, so a claim that fails on
+		// this box must not delete the record.
 		k.store.Confirm(c.Record.Key, c.Record.Owner)
 		// The first box knows the record; it sent it.
 		r = dedup.Record{}
@@ -258,8 +259,8 @@
 	k.cfg.Sender.SendCopied(from, Copied{Sequence: c.Sequence, Status: status, Record: r, Covers: covers})
 }
 
-// copied takes the second box's answer.
-func (k *Keeper) copied(c Copied) {
+// handleCopied applies the second box's reply to the pending claim.
+func (k *Keeper) handleCopied(c Copied) {
 	p, ok := k.pending[c.Sequence]
 	if !ok {
 		return
@@ -273,9 +274,9 @@
 	k.reply(p.from, p.claim, c.Status, c.Record)
 }
 
-// giveUp ends claims whose second box stays silent. The request has not run;
-// its box says so if the record is found later.
-func (k *Keeper) giveUp(now time.Time) {
+// expirePending ends the claims whose second box has not replied in time. Such a request
+// has not run; its box reports that if the record is found later.
+func (k *Keeper) expirePending(now time.Time) {
 	for sequence, p := range k.pending {
 		if now.Sub(p.since) < k.cfg.CopyTimeout {
 			continue
