--- a/coordination/held/held_test.go
+++ b/coordination/held/held_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestSlowestGivesWay(t *testing.T) {
+func TestSlowestIsEvicted(t *testing.T) {
 	convey.Convey("Without room the slowest hold is evicted, but neither young ones nor a complete body", t, func() {
 		m := newManualClock()
 		b := m.budget(300)
--- a/coordination/home/answer.go
+++ b/coordination/home/answer.go
@@ -12,9 +12,9 @@
 )
 
 // unknownGroup answers an ask for a group that this box does not know with ReasonMoved, so
-// that the caller's box tries another box. A starting box has the table before the
-// endpoints. When such asks were refused instead, 26 of the first 600 requests after a
-// restart of a whole fleet were told to retry after a second.
+// that the asking box tries another box. A starting box has the table before the endpoints.
+// When such asks were refused to the caller instead, 26 of the first 600 requests after all
+// boxes of a fleet had been killed were told to retry after a second.
 func (h *Homes) unknownGroup(c Command) {
 	a, ok := c.Body.(schedule.Ask)
 	if !ok {
--- a/coordination/home/cold.go
+++ b/coordination/home/cold.go
@@ -69,8 +69,7 @@
 }
 
 // pauseThreshold is the gap between two steps of the run loop that counts as a pause. The
-// loop runs at least every idleEvery, and other boxes declare this one dead after some 2.2
-// s.
+// loop runs at least every idleEvery. Other boxes declare this one dead after some 2.2 s.
 const pauseThreshold = 500 * time.Millisecond
 
 // noteStep records a step of the run loop and detects a pause before it.
--- a/coordination/home/cold_test.go
+++ b/coordination/home/cold_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestGrantsOfAGroupThatIsBack(t *testing.T) {
+func TestGrantsOfARestartedGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := coldHomes(pace.Standing{Home: true, For: time.Hour, Seen: 58, All: 58})
 		if got := h.flood(); got != 5 {
@@ -176,10 +176,10 @@
 	return group.New(t, directory.Directory{}.WithList(time.Now(), 1, entries)).Layout()
 }
 
-// TestHomeOfAZoneInOtherParts changes the number of a zone's groups. Each of them gets
+// TestHomeOfAZoneSplitAnew changes the number of a zone's groups. Each of them gets
 // endpoints that another home may just have granted, and loses some, so the time as home
 // starts anew.
-func TestHomeOfAZoneInOtherParts(t *testing.T) {
+func TestHomeOfAZoneSplitAnew(t *testing.T) {
 	const long = 10 * time.Second
 	two, four := table.MaxZoneGroup+1, 2*table.MaxZoneGroup+1
 	cases := map[string]struct {
--- a/coordination/home/home_test.go
+++ b/coordination/home/home_test.go
@@ -28,7 +28,7 @@
 func (discardAnswers) Check(string, string, string, []lifecycle.AttemptID) {}
 func (discardAnswers) HomeOf(string) string                                { return "self" }
 
-func TestProcessesThatAreNoMore(t *testing.T) {
+func TestLostProcesses(t *testing.T) {
 	cases := map[string]struct {
 		lost Lost
 		want int
@@ -88,9 +88,9 @@
 
 func (foreignHome) HomeOf(string) string { return "other" }
 
-// TestGroupsThatAreAskedForStay checks that a box which is no longer home of a group by its
+// TestGroupsInUseAreKept checks that a box which is no longer home of a group by its
 // own view keeps the group's grants while other boxes still ask here.
-func TestGroupsThatAreAskedForStay(t *testing.T) {
+func TestGroupsInUseAreKept(t *testing.T) {
 	convey.Convey("A group that moved away is kept until nothing is granted or waits", t, func() {
 		sample, _ := example.Table(example.Bogota)
 		h := New(Config{Self: "self", Answers: foreignHome{}, Log: log.Discard()})
--- a/coordination/home/limit_test.go
+++ b/coordination/home/limit_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestOpenGrantsAreLookedAt limits the decode engines so that none of them may be granted
-// when a prefill is done. No further ask arrives after that, and the attempt must get its
-// decode slot all the same.
+// for a while after a prefill is done. No further ask arrives in that time, and the attempt
+// must get its decode slot all the same.
 func TestOpenGrantsAreLookedAt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sample, _ := example.Table(example.Bogota)
@@ -95,9 +95,9 @@
 	return ring.Accepted
 }
 
-// TestQuestionsTellLimits checks that a home receives a limit after the first answer that
+// TestQuestionsCarryLimits checks that a home receives a limit after the first answer that
 // names it, and that asks and adopted plans carry the known limits to any box.
-func TestQuestionsTellLimits(t *testing.T) {
+func TestQuestionsCarryLimits(t *testing.T) {
 	sent := &sentBodies{bodies: make(map[string][]Body)}
 	r := NewRouter("self", sent)
 	keeper := notice.New(notice.Config{Log: log.Discard(), OnLimit: r.TellLimit})
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -290,9 +290,9 @@
 	}
 }
 
-// TestComingAgainIsRemembered sends a poison request to one box only: the others must
+// TestRepeatedRequestsAreRemembered sends a poison request to one box only: the others must
 // remember it too, and few messages per box must suffice for that.
-func TestComingAgainIsRemembered(t *testing.T) {
+func TestRepeatedRequestsAreRemembered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(10)
 		f.recordEnds("b000", poisoned, 1, 2, 3)
@@ -441,9 +441,9 @@
 	}
 }
 
-// TestLossesLookedAtLate lets two requests break off at the same time, and a busy box
+// TestLossesHandledLate lets two requests break off at the same time, and a busy box
 // handle them one by one: each was sent before the end, however late it is handled.
-func TestLossesLookedAtLate(t *testing.T) {
+func TestLossesHandledLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1)
 		k := f.boxes["b000"]
@@ -462,9 +462,9 @@
 	})
 }
 
-// TestManyLossesOneLook breaks off all requests of an endpoint: the endpoint is probed
+// TestManyLossesOneProbe breaks off all requests of an endpoint: the endpoint is probed
 // once, and exchanges that break off later count too.
-func TestManyLossesOneLook(t *testing.T) {
+func TestManyLossesOneProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1)
 		k := f.boxes["b000"]
--- a/coordination/quota/ways_test.go
+++ b/coordination/quota/ways_test.go
@@ -118,14 +118,14 @@
 	return b.keeper.Admit(ctx, Use{ID: id.Request, Account: account, Cost: cost, Wait: maxWait, Patience: time.Second}).Outcome == Admitted
 }
 
-// TestWays compares the schemes under the same load: an account with requests at five of 60
+// TestSchemes compares the schemes under the same load: an account with requests at five of 60
 // boxes, first at its usual 0.55 of the quota and then at three times the quota. Results
 // are relative to what one counter for all boxes would admit.
 // Fixed shares admit 0.16 at the usual load and 0.08 at three times the quota, since the
 // shares of the other boxes are lost. Shares by group admit 0.77 (small account) and 0.98
 // (large account) at the usual load, and 0.94 and 1.00 at three times the quota, since a
 // share follows the load a second late. A home per account admits 1.00 in all four cases.
-func TestWays(t *testing.T) {
+func TestSchemes(t *testing.T) {
 	const boxes, lasts = 60, 20 * time.Second
 	for name, limit := range accountQuotas {
 		for _, times := range []float64{0.55, 3} {
--- a/tests/mutants/cold.go
+++ b/tests/mutants/cold.go
@@ -119,7 +119,7 @@
 		old: "case had && now.Sub(last.ended) <= pace.ReturnTime:", fault: "case had:",
 	},
 	{
-		name: "grants_of_an_ended_group_forgotten", file: "coordination/home/configure.go", pkg: homeTests, args: only("TestGrantsOfAGroupThatIsBack"),
+		name: "grants_of_an_ended_group_forgotten", file: "coordination/home/configure.go", pkg: homeTests, args: only("TestGrantsOfARestartedGroup"),
 		old: "	cfg.Paced = h.cold.endedGrants\n", fault: "",
 	},
 	{
@@ -127,7 +127,7 @@
 		old: "case !known && !ended && !partsChanged:", fault: "case !known && (true || ended) && !partsChanged:",
 	},
 	{
-		name: "parts_of_a_zone_cut_anew_go_on", file: homeRouterFile, pkg: homeTests, args: only("TestHomeOfAZoneInOtherParts"),
+		name: "parts_of_a_zone_cut_anew_go_on", file: homeRouterFile, pkg: homeTests, args: only("TestHomeOfAZoneSplitAnew"),
 		old: "case own && !partsChanged:", fault: "case own:",
 	},
 	{
--- a/tests/mutants/limit.go
+++ b/tests/mutants/limit.go
@@ -52,7 +52,7 @@
 		old: " || v.r.cfg.Notices.Limited(id)", fault: "",
 	},
 	{
-		name: "limits_not_told_with_a_question", file: homeRouterFile, pkg: homeTests, args: only("TestQuestionsTellLimits"),
+		name: "limits_not_told_with_a_question", file: homeRouterFile, pkg: homeTests, args: only("TestQuestionsCarryLimits"),
 		old: "		b.Limits = r.limitsOf(group)\n", fault: "",
 	},
 }
--- a/tests/mutants/shared.go
+++ b/tests/mutants/shared.go
@@ -105,7 +105,7 @@
 		old: "a.ID.Request.Incarnation < start", fault: "a.ID.Request.Incarnation < 0",
 	},
 	{
-		name: "starts_not_looked_at", file: homeConfigureFile, pkg: "./coordination/home", args: only("TestProcessesThatAreNoMore"),
+		name: "starts_not_looked_at", file: homeConfigureFile, pkg: "./coordination/home", args: only("TestLostProcesses"),
 		old: "		h.dropBefore(box, start)\n", fault: "		_, _ = box, start\n",
 	},
 	{
