--- a/coordination/discover/discover.go
+++ b/coordination/discover/discover.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package discover keeps a box's directory of endpoints. A few boxes read the
-// platform's list and tell the others; state/cover decides which.
+// Package discover maintains a box's directory of endpoints. A few boxes read the
+// platform's list and announce changes to the others; package state/cover decides which
+// boxes read.
 package discover
 
 import (
@@ -21,87 +22,87 @@
 
 // Source is the platform's list of endpoints.
 type Source interface {
-	// Endpoints reads the whole list and the position that it stands at. A list
-	// that may be some seconds old costs the platform less; what has changed
-	// since comes with the first wait for changes.
+	// Endpoints reads the whole list and returns it with the position at which it was read.
+	// With mayBeOld the list may be some seconds stale, which costs the platform less; the
+	// first wait for changes returns what has changed since.
 	Endpoints(ctx context.Context, mayBeOld bool) ([]directory.Entry, uint64, error)
-	// EndpointChanges waits for changes after a position, up to the context's
-	// end, and returns the position to go on from. With atOnce it waits for
-	// nothing.
+	// EndpointChanges waits until the context ends for changes after a position, and returns
+	// them with the position to continue from. With atOnce it returns the changes that exist
+	// now without waiting.
 	EndpointChanges(ctx context.Context, after uint64, atOnce bool) ([]directory.Change, uint64, error)
 }
 
 // Config configures a Discoverer.
 type Config struct {
 	Source Source
-	// Wait bounds one wait for changes.
+	// Wait bounds one wait for changes; 0 is defaultWait.
 	Wait time.Duration
-	// Pause is the time between a change and the next wait, so that many changes
-	// in a row come together; nil is none.
+	// Pause returns the delay between a change and the next wait, so that a series of
+	// changes is read in one batch; nil means no delay.
 	Pause func() time.Duration
-	// Keep is how long an endpoint that is gone is remembered.
+	// Keep is how long a removed endpoint stays in the directory; 0 is defaultKeep.
 	Keep time.Duration
-	// OnChange gets each new directory, in order. It must not block.
+	// OnChange receives each new directory, in order. It must not block.
 	OnChange func(directory.Directory)
-	// OnLost is called when the platform has forgotten its history, stopped
-	// answering or answers again: what else waits for it may wait in vain.
+	// OnLost is called when the platform has dropped its history, stopped answering, or
+	// answers again: other waits on the platform may then never return.
 	OnLost func()
-	// OnReturn is called when the platform has come back from an older copy, which may
-	// lack what this box wrote.
+	// OnReturn is called when the platform was restored from an older copy, which may lack
+	// what this box wrote.
 	OnReturn func()
-	// Self is this box's name, and Peers takes updates to others; without Peers the
-	// box follows the list alone.
+	// Self is this box's name. Peers sends updates to other boxes; if it is nil, the box
+	// reads the list on its own.
 	Self  string
 	Peers Peers
-	// Ranked lists the boxes with duties of this box's region in an order that all
-	// of them agree on for a key.
+	// Ranked returns the boxes with duties in this box's region, in an order for the key
+	// that all of them agree on.
 	Ranked func(key string) []string
-	// Tree orders them for the tree in which what an origin tells goes round; nil is by
-	// Ranked.
+	// Tree returns the same boxes in the order of the tree along which updates of an origin
+	// are forwarded; nil uses Ranked.
 	Tree func(key, origin string) []string
-	// Heads names the box of each other region that takes updates in for it, in the
-	// same order for a key; nil is none.
+	// Heads returns, for each other region, the box that receives updates on its behalf,
+	// chosen by the key in the same way everywhere; nil sends nothing to other regions.
 	Heads func(key string) []string
-	// Readers is how many boxes, the first in rank, read the platform for their
+	// Readers is the number of boxes, first in rank, that read the platform for their
 	// region; 0 stands for cover.Readers.
 	Readers int
-	// Listed says whether the platform's list of boxes was read; without it each box
-	// reads its first list of endpoints itself.
+	// Listed reports whether the platform's list of boxes has been read; if it is nil, each
+	// box reads its first list of endpoints from the platform itself.
 	Listed func() bool
 	Log    log.Logger
 }
 
 const (
-	// defaultWait is short: a wait that the platform has lost without a word
-	// must not cost the time in which a leaving endpoint has to be known.
+	// defaultWait is short because the platform may drop a wait without an error, and a
+	// leaving endpoint still has to be known in time.
 	defaultWait = time.Second
 	defaultKeep = 30 * time.Second
-	// listTimeout bounds the reading of a whole list, page by page.
-	listTimeout  = 10 * time.Second
-	firstPause   = 50 * time.Millisecond
-	longestPause = 500 * time.Millisecond
-	// longestLook is how soon a box that others read for sees that it has become
-	// a reader itself.
-	longestLook = 200 * time.Millisecond
+	// listTimeout bounds the read of a whole list, over all its pages.
+	listTimeout    = 10 * time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
+	// maxRoleCheckInterval bounds how long a box that doesn't read the platform takes to
+	// notice that it has become a reader.
+	maxRoleCheckInterval = 200 * time.Millisecond
 )
 
-// Discoverer is the duty.
+// Discoverer maintains the directory of endpoints.
 type Discoverer struct {
 	cfg   Config
 	mutex sync.Mutex
 	known directory.Directory
-	// fresh asks for a list that is not old.
-	fresh bool
-	// gathered is the revision after which changes were last gathered.
-	gathered uint64
-	shared   shared
-	gap      gap
-	outage   outage
-	// listed is closed once there is a list.
+	// needFresh requests a list that isn't stale.
+	needFresh bool
+	// gatheredRevision is the directory's revision when batchChanges last paused.
+	gatheredRevision uint64
+	exchange         exchange
+	gap              gap
+	outage           outage
+	// listed is closed once the first list is known.
 	listed chan struct{}
 }
 
-// New makes the duty; Run starts it.
+// New returns a Discoverer; Run starts it.
 func New(cfg Config) *Discoverer {
 	if cfg.Wait <= 0 {
 		cfg.Wait = defaultWait
@@ -109,27 +110,28 @@
 	if cfg.Keep <= 0 {
 		cfg.Keep = defaultKeep
 	}
-	return &Discoverer{cfg: cfg, outage: outage{heard: time.Now()}, shared: newShared(), listed: make(chan struct{})}
+	return &Discoverer{cfg: cfg, outage: outage{lastHeard: time.Now()}, exchange: newExchange(), listed: make(chan struct{})}
 }
 
-// Directory is what is known now.
+// Directory returns the current directory.
 func (d *Discoverer) Directory() directory.Directory {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.known
 }
 
-// Left notes that another endpoint answered at this one's address.
+// Left marks an endpoint as gone because another endpoint answered at its address.
 func (d *Discoverer) Left(id string) {
 	d.update(func(known directory.Directory) directory.Directory { return known.WithLeft(id) })
 }
 
-// SetDrained takes the drained availability zones.
+// SetDrained sets the drained availability zones.
 func (d *Discoverer) SetDrained(zones map[string]bool) {
 	d.update(func(known directory.Directory) directory.Directory { return known.WithDrained(time.Now(), zones) })
 }
 
-// update puts a new directory into force.
+// update replaces the directory with the result of change, and logs it and calls OnChange
+// if its revision changed or it became known.
 func (d *Discoverer) update(change func(directory.Directory) directory.Directory) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -151,38 +153,39 @@
 	}
 }
 
-// gather lets further changes come together after one.
-func (d *Discoverer) gather(ctx context.Context) {
+// batchChanges pauses after a change, so that further changes are read with it.
+func (d *Discoverer) batchChanges(ctx context.Context) {
 	revision := d.Directory().Revision()
-	if d.cfg.Pause == nil || revision == d.gathered {
+	if d.cfg.Pause == nil || revision == d.gatheredRevision {
 		return
 	}
-	d.gathered = revision
+	d.gatheredRevision = revision
 	sleep.For(ctx, d.cfg.Pause())
 }
 
-// Run follows the list until the context ends.
+// Run reads the list and its changes until the context ends.
 func (d *Discoverer) Run(ctx context.Context) error {
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = firstPause
-	pauses.MaxInterval = longestPause
+	pauses.InitialInterval = initialBackoff
+	pauses.MaxInterval = maxBackoff
 	whole, lost := !d.awaitList(ctx), false
 	for ctx.Err() == nil {
-		// Without a list the box cannot serve.
-		decided := d.decide(time.Now())
-		if decided.Read && d.rereads(time.Now()) {
-			whole, d.fresh = true, true
+		// A box without a list can't serve requests, so it reads one even if it isn't a
+		// reader.
+		decision := d.decide(time.Now())
+		if decision.Read && d.takeRereadDue(time.Now()) {
+			whole, d.needFresh = true, true
 		}
-		if !decided.Read && !whole {
-			sleep.For(ctx, min(decided.Wait, longestLook))
+		if !decision.Read && !whole {
+			sleep.For(ctx, min(decision.Wait, maxRoleCheckInterval))
 			continue
 		}
-		begunKnown := d.Directory().Known()
-		err := d.once(ctx, whole, !decided.Tell)
-		if err != nil && whole && !begunKnown && d.Directory().Known() {
-			// Another box's list came first, of another region perhaps.
+		knownBefore := d.Directory().Known()
+		err := d.readOnce(ctx, whole, !decision.Tell)
+		if err != nil && whole && !knownBefore && d.Directory().Known() {
+			// A list from another box, maybe of another region, came first.
 			whole = false
-			d.tellUnless(d.Directory().All(), 1)
+			d.announceUnless(d.Directory().All(), 1)
 			continue
 		}
 		if err == nil && !whole {
@@ -190,50 +193,51 @@
 		}
 		switch {
 		case err == nil && whole:
-			// The list alone does not show that changes can be followed.
+			// Reading the list doesn't prove that changes can be watched, so the backoff isn't
+			// reset here.
 			whole = false
 		case err == nil:
 			pauses.Reset()
-			d.gather(ctx)
+			d.batchChanges(ctx)
 			if lost {
 				d.cfg.Log.Info("endpoint_list_regained")
-				d.lost()
-				d.tell(d.lostUpdate())
+				d.notifyLost()
+				d.announce(d.lostUpdate())
 			}
 			lost = false
 		case errors.Is(err, adapter.ErrHistoryGone):
 			d.cfg.Log.WithFields(log.Fields{"position": d.Directory().At()}).Info("endpoint_history_gone")
-			// The changes since an old list are forgotten too.
-			whole, d.fresh = true, true
-			d.lost()
-			d.tell(d.lostUpdate())
+			// The platform no longer has the changes since a stale list either.
+			whole, d.needFresh = true, true
+			d.notifyLost()
+			d.announce(d.lostUpdate())
 			sleep.For(ctx, pauses.NextBackOff())
 		case ctx.Err() == nil:
 			d.noteFailed()
 			d.cfg.Log.WithError(err).Warn("endpoint_list_failed")
 			if !lost {
-				d.lost()
+				d.notifyLost()
 			}
-			d.tell(d.lostUpdate())
+			d.announce(d.lostUpdate())
 			d.noteRead(false)
-			// All boxes that want a fresh list at once may be more than the
-			// platform takes.
-			lost, d.fresh = true, false
+			// If all boxes asked for a fresh list at once, the platform might not cope.
+			lost, d.needFresh = true, false
 			sleep.For(ctx, pauses.NextBackOff())
 		}
 	}
 	return nil
 }
 
-func (d *Discoverer) lost() {
+func (d *Discoverer) notifyLost() {
 	if d.cfg.OnLost != nil {
 		d.cfg.OnLost()
 	}
 }
 
-// once reads the whole list, or the changes: those that there are at once, or
-// after a wait.
-func (d *Discoverer) once(ctx context.Context, whole, atOnce bool) error {
+// readOnce reads the whole list, or else the changes: with atOnce those that exist now,
+// otherwise those that arrive during a wait. It updates the directory and announces what
+// was read.
+func (d *Discoverer) readOnce(ctx context.Context, whole, atOnce bool) error {
 	bound := d.cfg.Wait
 	if whole {
 		bound = listTimeout
@@ -241,29 +245,28 @@
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	if whole {
-		begun, fresh := d.Directory(), d.fresh
-		first := !begun.Known()
+		before, fresh := d.Directory(), d.needFresh
+		first := !before.Known()
 		list, at, err := d.readList(ctx)
 		if err != nil {
 			return err
 		}
 		if fresh {
-			d.correct(begun.At(), at)
+			d.correctPosition(before.At(), at)
 		}
 		d.noteHeard(time.Now())
-		d.noteReturn(time.Now(), at)
+		d.noteRestore(time.Now(), at)
 		d.update(func(known directory.Directory) directory.Directory {
-			d.remember(directory.Update{At: at, Whole: true})
+			d.addToHistory(directory.Update{At: at, Whole: true})
 			return known.WithList(time.Now(), at, list)
 		})
 		all := d.Directory().All()
-		told := all.At
+		announced := all.At
 		if first {
-			// Where all boxes start at once, one list is enough, if it is a little
-			// older too.
-			told = 1
+			// When all boxes start at once, one list is enough, even if it is slightly older.
+			announced = 1
 		}
-		d.tellUnless(all, told)
+		d.announceUnless(all, announced)
 		return nil
 	}
 	after := d.Directory().At()
@@ -275,10 +278,10 @@
 	d.update(func(known directory.Directory) directory.Directory {
 		now := time.Now()
 		if at > known.At() {
-			d.remember(directory.Update{After: after, At: at, Changes: changes})
+			d.addToHistory(directory.Update{After: after, At: at, Changes: changes})
 		}
 		return known.WithChanges(now, at, changes).Without(now, d.cfg.Keep)
 	})
-	d.tell(directory.Update{After: after, At: at, Changes: changes})
+	d.announce(directory.Update{After: after, At: at, Changes: changes})
 	return nil
 }
--- a/coordination/discover/discover_test.go
+++ b/coordination/discover/discover_test.go
@@ -15,9 +15,10 @@
 	"runridge.example/runridge/state/directory"
 )
 
-// call is one call to the platform; the test answers it.
+// call is a call to the platform that the test answers.
 type call struct {
-	// whole is a list, else a wait for changes after a position.
+	// whole is set for a read of the list; otherwise the call waits for changes after a
+	// position.
 	whole, mayBeOld bool
 	after           uint64
 	reply           chan reply
@@ -30,9 +31,9 @@
 	err     error
 }
 
-type scripted struct{ calls chan call }
+type scriptedSource struct{ calls chan call }
 
-func (s scripted) ask(ctx context.Context, c call) reply {
+func (s scriptedSource) call(ctx context.Context, c call) reply {
 	c.reply = make(chan reply, 1)
 	select {
 	case s.calls <- c:
@@ -47,22 +48,22 @@
 	}
 }
 
-func (s scripted) Endpoints(ctx context.Context, mayBeOld bool) ([]directory.Entry, uint64, error) {
-	r := s.ask(ctx, call{whole: true, mayBeOld: mayBeOld})
+func (s scriptedSource) Endpoints(ctx context.Context, mayBeOld bool) ([]directory.Entry, uint64, error) {
+	r := s.call(ctx, call{whole: true, mayBeOld: mayBeOld})
 	return r.list, r.at, r.err
 }
 
-func (s scripted) EndpointChanges(ctx context.Context, after uint64, _ bool) ([]directory.Change, uint64, error) {
-	r := s.ask(ctx, call{after: after})
+func (s scriptedSource) EndpointChanges(ctx context.Context, after uint64, _ bool) ([]directory.Change, uint64, error) {
+	r := s.call(ctx, call{after: after})
 	return r.changes, r.at, r.err
 }
 
-// next is the next call that is not a repeat of a wait that timed out.
-func (s scripted) next() call { return <-s.calls }
+// next returns the next call.
+func (s scriptedSource) next() call { return <-s.calls }
 
-func begin(t *testing.T) (*Discoverer, scripted) {
+func startDiscoverer(t *testing.T) (*Discoverer, scriptedSource) {
 	t.Helper()
-	s := scripted{calls: make(chan call)}
+	s := scriptedSource{calls: make(chan call)}
 	d := New(Config{Source: s, Log: log.Discard()})
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -82,8 +83,8 @@
 func entry(id string) directory.Entry { return directory.Entry{ID: id, Service: "s", Address: id} }
 
 func TestLists(t *testing.T) {
-	convey.Convey("A start takes a list that may be old, and the changes since", t, func() {
-		d, s := begin(t)
+	convey.Convey("A starting box reads a list that may be stale, and the changes since", t, func() {
+		d, s := startDiscoverer(t)
 		first := s.next()
 		convey.So(first.whole && first.mayBeOld, convey.ShouldBeTrue)
 		first.reply <- reply{list: []directory.Entry{entry("a")}, at: 5}
@@ -93,24 +94,24 @@
 		convey.So(s.next().after, convey.ShouldEqual, 8)
 		convey.So(d.Directory().Len(), convey.ShouldEqual, 2)
 	})
-	convey.Convey("Where the changes since are forgotten, the list is read fresh", t, func() {
-		_, s := begin(t)
+	convey.Convey("If the platform has dropped the changes since, a fresh list is read", t, func() {
+		_, s := startDiscoverer(t)
 		s.next().reply <- reply{at: 5}
 		s.next().reply <- reply{err: adapter.ErrHistoryGone}
 		again := s.next()
 		convey.So(again.whole, convey.ShouldBeTrue)
 		convey.So(again.mayBeOld, convey.ShouldBeFalse)
 	})
-	convey.Convey("A fresh list that the platform turns away is not asked for again at once", t, func() {
-		_, s := begin(t)
+	convey.Convey("A fresh list that the platform refuses is not requested again at once", t, func() {
+		_, s := startDiscoverer(t)
 		s.next().reply <- reply{at: 5}
 		s.next().reply <- reply{err: adapter.ErrHistoryGone}
 		s.next().reply <- reply{err: errBusy}
 		again := s.next()
 		convey.So(again.whole && again.mayBeOld, convey.ShouldBeTrue)
 	})
-	convey.Convey("An older list takes nothing back", t, func() {
-		d, s := begin(t)
+	convey.Convey("An older list removes nothing", t, func() {
+		d, s := startDiscoverer(t)
 		s.next().reply <- reply{list: []directory.Entry{entry("a")}, at: 9}
 		s.next().reply <- reply{err: adapter.ErrHistoryGone}
 		s.next().reply <- reply{err: errBusy}
--- a/coordination/discover/gap.go
+++ b/coordination/discover/gap.go
@@ -11,85 +11,87 @@
 )
 
 const (
-	// maxHeld is how many updates beyond a gap are kept until it is filled.
+	// maxHeld is the number of updates beyond a gap that are kept until the gap is filled.
 	maxHeld = 16
-	// pullPause is the least time between two questions for what was missed: what
-	// fills the gap is mostly on its way already, and without a pause a fleet of 300
-	// boxes that started asked 2,300 times in 10 s.
-	pullPause = 250 * time.Millisecond
-	// pullTries is how often a box asks without a further update: those come at least
-	// once in a second.
-	pullTries = 4
-	// listUnderWay is how long a list that was passed on may be under way, to all boxes
-	// below this one and over a narrow link.
-	listUnderWay = time.Second
+	// minPullInterval is the minimum time between two pulls of missed updates. What fills
+	// the gap is usually on its way already; without the interval a starting fleet of 300
+	// boxes sent 2,300 pulls in 10 s.
+	minPullInterval = 250 * time.Millisecond
+	// maxPulls is how many pulls a box sends without a further update; updates arrive at
+	// least once a second.
+	maxPulls = 4
+	// listTransitTime is how long a forwarded list may be in flight to all boxes below this
+	// one, over a narrow link.
+	listTransitTime = time.Second
 )
 
-// gap is what a box keeps for changes that it or others have missed.
+// gap holds what a box needs to recover updates that it or other boxes have missed.
 type gap struct {
-	// held are updates that begin after what is known here.
+	// held are updates that start after the directory's position.
 	held []directory.Update
-	// pulled is when this box last asked another.
-	pulled time.Time
-	// listPassed is when the whole list last went to boxes after this one, and
-	// listTo which.
-	listPassed time.Time
-	listTo     []string
-	// history are the last changes, for boxes that ask.
+	// lastPull is when this box last sent a pull.
+	lastPull time.Time
+	// listForwardedAt is when this box last forwarded the whole list, and listForwardedTo
+	// the boxes that it went to.
+	listForwardedAt time.Time
+	listForwardedTo []string
+	// history holds the latest changes, for boxes that pull them.
 	history directory.History
 }
 
-// fill puts an update into force, and then those that waited for it.
-func (d *Discoverer) fill(now time.Time, n directory.Update) {
-	d.take(now, n)
+// applyWithHeld applies an update, and then the held updates that fit after it.
+func (d *Discoverer) applyWithHeld(now time.Time, u directory.Update) {
+	d.apply(now, u)
 	for {
 		next, found := d.nextHeld()
 		if !found {
 			return
 		}
-		d.take(now, next)
+		d.apply(now, next)
 	}
 }
 
-// nextHeld takes a held update that fits now, and drops those that are old.
+// nextHeld removes and returns a held update that fits the directory's position, and drops
+// those that are older. It reports whether there was one.
 func (d *Discoverer) nextHeld() (directory.Update, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	kept := d.gap.held[:0]
 	var next directory.Update
 	found := false
-	for _, n := range d.gap.held {
+	for _, u := range d.gap.held {
 		switch {
-		case n.At <= d.known.At():
-		case !found && d.known.Fits(n):
-			next, found = n, true
+		case u.At <= d.known.At():
+		case !found && d.known.Fits(u):
+			next, found = u, true
 		default:
-			kept = append(kept, n)
+			kept = append(kept, u)
 		}
 	}
 	d.gap.held = kept
 	return next, found
 }
 
-// hold keeps an update that begins after what is known here, and asks for what lies
-// between.
-func (d *Discoverer) hold(now time.Time, from string, n directory.Update) {
+// hold keeps an update that starts after the directory's position, and pulls what lies
+// between from its sender.
+func (d *Discoverer) hold(now time.Time, from string, u directory.Update) {
 	d.mutex.Lock()
 	if len(d.gap.held) == maxHeld {
 		d.gap.held = d.gap.held[1:]
 	}
-	d.gap.held = append(d.gap.held, n)
+	d.gap.held = append(d.gap.held, u)
 	d.mutex.Unlock()
-	d.ask(now, from, pullTries)
+	d.pullMissed(now, from, maxPulls)
 }
 
-// ask asks a box for what was missed, unless one was asked just now, and asks again
-// after a pause while it is still missing: the other may have missed it too.
-func (d *Discoverer) ask(now time.Time, from string, tries int) {
+// pullMissed pulls the missed updates from a box, unless a pull was sent less than
+// minPullInterval ago. It repeats the pull after that interval while updates are still
+// held, up to tries pulls in all: the other box may have missed them too.
+func (d *Discoverer) pullMissed(now time.Time, from string, tries int) {
 	d.mutex.Lock()
-	waits := len(d.gap.held) == 0 || now.Sub(d.gap.pulled) < pullPause
+	waits := len(d.gap.held) == 0 || now.Sub(d.gap.lastPull) < minPullInterval
 	if !waits {
-		d.gap.pulled = now
+		d.gap.lastPull = now
 	}
 	have := d.known.At()
 	d.mutex.Unlock()
@@ -98,29 +100,30 @@
 	}
 	d.cfg.Peers.SendUpdatePull(from, have)
 	if tries > 1 {
-		time.AfterFunc(pullPause, func() { d.ask(time.Now(), from, tries-1) })
+		time.AfterFunc(minPullInterval, func() { d.pullMissed(time.Now(), from, tries-1) })
 	}
 }
 
-// noteListPassed notes that the whole list goes to boxes.
-func (d *Discoverer) noteListPassed(to []string) {
+// noteListForwarded records that the whole list is being sent to boxes.
+func (d *Discoverer) noteListForwarded(to []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.gap.listPassed, d.gap.listTo = time.Now(), to
+	d.gap.listForwardedAt, d.gap.listForwardedTo = time.Now(), to
 }
 
-// remember notes an update that was put into force. The mutex is held.
-func (d *Discoverer) remember(n directory.Update) {
-	d.gap.history = d.gap.history.With(n)
+// addToHistory adds an applied update to the history. The caller holds the mutex.
+func (d *Discoverer) addToHistory(u directory.Update) {
+	d.gap.history = d.gap.history.With(u)
 }
 
-// Pull answers a box that stands at a position with what it has missed: the changes
-// since, or all that is known here if they are not kept any more.
+// Pull answers a box whose directory stands at the position have: with the changes since
+// then, or with the whole directory if the history no longer covers them. It sends nothing
+// if the box misses nothing, or if a forwarded list is still in flight to it.
 func (d *Discoverer) Pull(from string, have uint64) {
 	d.mutex.Lock()
 	missed, kept := d.gap.history.Since(have)
 	known := d.known
-	underWay := have == 0 && time.Since(d.gap.listPassed) < listUnderWay && slices.Contains(d.gap.listTo, from)
+	underWay := have == 0 && time.Since(d.gap.listForwardedAt) < listTransitTime && slices.Contains(d.gap.listForwardedTo, from)
 	d.mutex.Unlock()
 	switch {
 	case !known.Known() || have >= known.At() || underWay:
--- a/coordination/discover/outage.go
+++ b/coordination/discover/outage.go
@@ -12,71 +12,75 @@
 )
 
 const (
-	// leastOutage is how long the platform must not have been heard for an
-	// entry to lapse meanwhile although its endpoint lives.
-	leastOutage = 1500 * time.Millisecond
-	// gracePeriod is how long such entries have to come back. Endpoints write them
-	// anew within about two seconds; an endpoint that has really gone must be
-	// out before that.
+	// minOutage is the shortest silence of the platform in which an entry may expire
+	// although its endpoint is alive.
+	minOutage = 1500 * time.Millisecond
+	// gracePeriod is how long such entries have to reappear. Endpoints rewrite them within
+	// about two seconds; an endpoint that is really gone must be out of the directory before
+	// that.
 	gracePeriod = 1800 * time.Millisecond
 )
 
-// outage is what a box knows of the platform's being away.
+// outage tracks whether the platform is unavailable or was restored from an older copy.
 type outage struct {
-	// heard is when the platform was last heard, here or through another box,
-	// and failed says that a call to it has failed since.
-	heard  time.Time
-	failed bool
-	// rereadAt is when the whole list is due once more; zero is not.
+	// lastHeard is when the platform last answered this box, or another box that reported
+	// it. failed is set if a call to the platform has failed since.
+	lastHeard time.Time
+	failed    bool
+	// rereadAt is when the whole list has to be read once more; zero means that no such read
+	// is due.
 	rereadAt time.Time
-	// returnedAt is when the platform was last seen to have come back older; zero is never.
-	returnedAt time.Time
+	// restoredAt is when the platform was last found to be restored from an older copy; zero
+	// means never.
+	restoredAt time.Time
 }
 
-// noteFailed takes in that a call to the platform failed.
+// noteFailed records that a call to the platform failed.
 func (d *Discoverer) noteFailed() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.outage.failed = true
 }
 
-// noteHeard takes in that the platform is heard, before what it said is. After
-// an outage entries that are missing have a grace period.
+// noteHeard records that the platform answers. It is called before the answer is applied,
+// so that entries that disappear after an outage get a grace period.
 func (d *Discoverer) noteHeard(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	away := now.Sub(d.outage.heard)
-	over := d.outage.failed && away >= leastOutage
-	d.outage.heard, d.outage.failed = now, false
+	away := now.Sub(d.outage.lastHeard)
+	over := d.outage.failed && away >= minOutage
+	d.outage.lastHeard, d.outage.failed = now, false
 	if !over {
 		return
 	}
-	d.graceFrom(now)
+	d.startGrace(now)
 	d.cfg.Log.WithFields(log.Fields{"away_ms": away.Milliseconds(), "position": d.known.At()}).Info("endpoint_entries_in_grace")
 }
 
 const (
-	// heldFor is for how long what is known of endpoints holds over the lists of a platform
-	// that came back older: endpoints write their entries again within about two seconds,
-	// and the platform takes out those of endpoints that are silent within some four.
-	heldFor = 5 * time.Second
-	// rereadAfter is when the boxes that read for all read the whole list once more: all
-	// boxes take it as it is by then.
-	rereadAfter = heldFor + time.Second
+	// holdAfterRestore is how long known endpoints override the lists of a platform that was
+	// restored from an older copy: endpoints rewrite their entries within about two seconds,
+	// and the platform removes those of silent endpoints within about four.
+	holdAfterRestore = 5 * time.Second
+	// rereadAfter is the delay until the reading boxes read the whole list once more; all
+	// boxes accept the list as it is by then.
+	rereadAfter = holdAfterRestore + time.Second
 )
 
-// noteReturn takes in that the platform has come back older, if a position tells so, before
-// what it said is taken in.
-func (d *Discoverer) noteReturn(now time.Time, at uint64) {
+// noteRestore checks whether the position at shows that the platform was restored from an
+// older copy. If so it keeps the known endpoints for holdAfterRestore, starts a grace
+// period, schedules another read and calls OnReturn. It is called before what was read at
+// that position is applied.
+func (d *Discoverer) noteRestore(now time.Time, at uint64) {
 	d.mutex.Lock()
 	before := d.known.At()
 	if !d.known.Known() || position.Era(at) <= position.Era(before) {
 		d.mutex.Unlock()
 		return
 	}
-	d.known = d.known.WithHeld(now.Add(heldFor))
-	d.graceFrom(now)
-	d.outage.rereadAt, d.outage.returnedAt = now.Add(rereadAfter), now
+	d.known = d.known.WithHeld(now.Add(holdAfterRestore))
+	d.startGrace(now)
+	d.outage.rereadAt, d.outage.restoredAt = now.Add(rereadAfter), now
 	d.cfg.Log.WithFields(log.Fields{
 		"era": position.Era(at), "position": at, "era_before": position.Era(before), "position_before": before,
 	}).Warn("endpoint_list_came_back_older")
@@ -86,27 +90,30 @@
 	}
 }
 
-// correct has the directory stand at the position of a list that is not old. One that it
-// has from an old list may be later in the same era, if that was read just after the
-// platform came back: no change would be taken in until the platform comes past it.
-func (d *Discoverer) correct(begun, at uint64) {
+// correctPosition sets the directory to the position of a fresh list. A position that came
+// from a stale list may be later in the same era, if that list was read just after the
+// platform was restored: no change would be accepted until the platform had passed that
+// position.
+func (d *Discoverer) correctPosition(before, at uint64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if at < begun && position.Era(at) == position.Era(begun) && d.known.At() == begun {
+	if at < before && position.Era(at) == position.Era(before) && d.known.At() == before {
 		d.known = d.known.WithPosition(at)
 	}
 }
 
-// LatestReturn is the era of the platform as far as this box knows, and when it was seen to
-// have come back older; zero is not since the box started.
+// LatestReturn returns the platform's era as far as this box knows, and when the platform
+// was last found to be restored from an older copy; the time is zero if that hasn't
+// happened since this box started.
 func (d *Discoverer) LatestReturn() (era uint64, at time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return position.Era(d.known.At()), d.outage.returnedAt
+	return position.Era(d.known.At()), d.outage.restoredAt
 }
 
-// rereads says whether the whole list is due once more after the platform came back older.
-func (d *Discoverer) rereads(now time.Time) bool {
+// takeRereadDue reports whether the whole list has to be read once more after the platform
+// was restored from an older copy, and clears the schedule if so.
+func (d *Discoverer) takeRereadDue(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	due := !d.outage.rereadAt.IsZero() && now.After(d.outage.rereadAt)
@@ -116,8 +123,8 @@
 	return due
 }
 
-// graceFrom begins a grace period. The mutex is held.
-func (d *Discoverer) graceFrom(now time.Time) {
+// startGrace starts a grace period at now. The caller holds the mutex.
+func (d *Discoverer) startGrace(now time.Time) {
 	d.known = d.known.WithGrace(now.Add(gracePeriod))
 	time.AfterFunc(gracePeriod, func() {
 		d.update(func(known directory.Directory) directory.Directory { return known.WithoutGrace(time.Now()) })
--- a/coordination/discover/region_test.go
+++ b/coordination/discover/region_test.go
@@ -17,7 +17,8 @@
 	"runridge.example/runridge/state/spread"
 )
 
-// twoRegions are boxes of two regions whose updates reach the others at once.
+// twoRegions returns a fleet of boxes in two regions whose messages arrive at once, and
+// each box's view of the fleet.
 func twoRegions(n int) (*fleet, map[string]spread.Fleet) {
 	f := newFleet(0, nil)
 	regions := locality.New(map[string]string{"z0": "near", "z1": "far"})
@@ -25,27 +26,27 @@
 	for i := range n {
 		all = append(all, member.Box{Name: fmt.Sprintf("b%03d", i), Zone: fmt.Sprintf("z%d", i%2)})
 	}
-	ways := make(map[string]spread.Fleet)
+	views := make(map[string]spread.Fleet)
 	for _, b := range all {
-		way := spread.New(b, all, regions)
-		ways[b.Name] = way
+		view := spread.New(b, all, regions)
+		views[b.Name] = view
 		f.names = append(f.names, b.Name)
-		f.boxes[b.Name] = New(Config{Self: b.Name, Peers: link{f, b.Name}, Ranked: way.Near, Heads: way.Heads, Readers: cover.RegionReaders, Log: log.Discard()})
+		f.boxes[b.Name] = New(Config{Self: b.Name, Peers: link{f, b.Name}, Ranked: view.Near, Heads: view.Heads, Readers: cover.RegionReaders, Log: log.Discard()})
 	}
-	return f, ways
+	return f, views
 }
 
-func TestARegionTellsItself(t *testing.T) {
+func TestUpdatesSpreadWithinARegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, ways := twoRegions(60)
-		near, far := ways["b000"], ways["b001"]
-		// Readers of the far region are heard.
+		f, views := twoRegions(60)
+		near, far := views["b000"], views["b001"]
+		// The far region's readers are active.
 		for _, reader := range far.Near(rankKey)[:cover.RegionReaders] {
-			f.boxes[reader].tell(directory.Update{At: 1})
+			f.boxes[reader].announce(directory.Update{At: 1})
 		}
 		clear(f.got)
 		first := near.Near(rankKey)[0]
-		f.boxes[first].tell(directory.Update{After: 1, At: 3, Changes: []directory.Change{{Entry: entry("a")}}})
+		f.boxes[first].announce(directory.Update{After: 1, At: 3, Changes: []directory.Change{{Entry: entry("a")}}})
 		crossed := 0
 		for _, name := range far.Near(rankKey) {
 			crossed += f.got[name]
@@ -61,27 +62,28 @@
 	})
 }
 
-func TestARegionWithoutThePlatformHearsTheOther(t *testing.T) {
+func TestARegionWithoutThePlatformFollowsTheOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, ways := twoRegions(60)
-		near, far := ways["b000"], ways["b001"]
+		f, views := twoRegions(60)
+		near, far := views["b000"], views["b001"]
 		for _, reader := range far.Near(rankKey)[:cover.RegionReaders] {
-			f.boxes[reader].tell(directory.Update{At: 1})
+			f.boxes[reader].announce(directory.Update{At: 1})
 		}
-		// From here on the far region's readers are silent.
+		// The far region's readers are silent from here on.
 		time.Sleep(cover.Validity)
 		first := near.Near(rankKey)[0]
-		f.boxes[first].tell(directory.Update{After: 1, At: 3, Changes: []directory.Change{{Entry: entry("a")}}})
+		f.boxes[first].announce(directory.Update{After: 1, At: 3, Changes: []directory.Change{{Entry: entry("a")}}})
 		for _, name := range far.Near(rankKey) {
 			if at := f.boxes[name].Directory().At(); at != 3 {
 				t.Errorf("%s of the region without readers stands at %d", name, at)
 			}
 		}
-		// The box that takes updates in dies: the other readers' updates come by others.
+		// The box that receives updates for the far region dies: updates of the other readers
+		// arrive through other boxes.
 		lost := near.Heads(treeKey(first))[0]
 		f.cut[lost] = true
 		for i, reader := range near.Near(rankKey)[:cover.RegionReaders] {
-			f.boxes[reader].tell(directory.Update{After: 3, At: 5 + uint64(i), Changes: []directory.Change{{Entry: entry("b")}}})
+			f.boxes[reader].announce(directory.Update{After: 3, At: 5 + uint64(i), Changes: []directory.Change{{Entry: entry("b")}}})
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -94,12 +96,12 @@
 }
 
 func TestALossOfThePlatformStaysInItsRegion(t *testing.T) {
-	f, ways := twoRegions(60)
-	near, far := ways["b000"], ways["b001"]
-	f.boxes[near.Near(rankKey)[0]].tell(directory.Update{Lost: true})
+	f, views := twoRegions(60)
+	near, far := views["b000"], views["b001"]
+	f.boxes[near.Near(rankKey)[0]].announce(directory.Update{Lost: true})
 	for _, name := range far.Near(rankKey) {
 		if f.got[name] > 0 {
-			t.Errorf("%s of the other region is told that the platform is lost", name)
+			t.Errorf("%s of the other region is notified that the platform is lost", name)
 		}
 	}
 }
@@ -107,7 +109,7 @@
 func TestUpdatesBeyondAGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(50, nil)
-		box, from := f.boxes[f.other()], f.watchers()[0]
+		box, from := f.boxes[f.lastRanked()], f.readers()[0]
 		update := func(sequence, after, at uint64) {
 			box.Receive(from, directory.Update{
 				Origin: from, Sequence: sequence, After: after, At: at,
@@ -132,8 +134,8 @@
 		update(7, 20, 21)
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		if asked := f.pulls[from]; asked != 1+pullTries {
-			t.Errorf("asked %d times for what does not come, want %d", asked-1, pullTries)
+		if asked := f.pulls[from]; asked != 1+maxPulls {
+			t.Errorf("asked %d times for what does not come, want %d", asked-1, maxPulls)
 		}
 	})
 }
--- a/coordination/discover/share.go
+++ b/coordination/discover/share.go
@@ -14,47 +14,47 @@
 	"runridge.example/runridge/state/spread"
 )
 
-// Peers takes updates between boxes. Calls must not block.
+// Peers sends updates between boxes. Calls must not block.
 type Peers interface {
-	// SendUpdate tells some boxes what has changed.
-	SendUpdate(n directory.Update, to ...string)
-	// SendUpdatePull asks a box for what came after a position.
+	// SendUpdate sends an update to some boxes.
+	SendUpdate(u directory.Update, to ...string)
+	// SendUpdatePull asks a box for the changes after a position.
 	SendUpdatePull(to string, have uint64)
 }
 
 const (
-	// rankKey orders the boxes for who reads the platform.
+	// rankKey is the key of the order in which boxes read the platform.
 	rankKey = "endpoints"
-	// forgetUpdates is how long the number of a box's last update is remembered: long
-	// enough that no update goes in circles while boxes disagree on the tree,
-	// and less than a box needs to start again.
-	forgetUpdates = 3 * time.Second
+	// sequenceMemory is how long the sequence number of a box's last update is remembered:
+	// long enough that no update loops while boxes disagree on the tree, and less than a box
+	// needs to restart.
+	sequenceMemory = 3 * time.Second
 )
 
-// heard is the last update of one origin.
-type heard struct {
+// lastUpdate is the sequence number and arrival time of an origin's latest update.
+type lastUpdate struct {
 	sequence uint64
 	at       time.Time
 }
 
-// shared is what a box knows of the others' updates.
-type shared struct {
-	// sequence numbers this box's own updates.
+// exchange is a box's state in the exchange of updates with others.
+type exchange struct {
+	// sequence is the number of this box's latest update.
 	sequence uint64
-	// seen is the last update of each other box.
-	seen  map[string]heard
+	// seen maps an origin to its latest update.
+	seen  map[string]lastUpdate
 	cover cover.Cover
-	// told is up to where another box of the region has told the changes.
-	told uint64
-	// decided is what this box last decided on reading the platform.
+	// announced is the latest position that another box of the region has announced.
+	announced uint64
+	// decided is the latest decision on whether this box reads the platform.
 	decided cover.Decision
 }
 
-func newShared() shared {
-	return shared{seen: make(map[string]heard), cover: cover.New(time.Now())}
+func newExchange() exchange {
+	return exchange{seen: make(map[string]lastUpdate), cover: cover.New(time.Now())}
 }
 
-// place is where a box stands in the order of those that read the platform.
+// place returns the position of a box in the order of readers.
 func (d *Discoverer) place(box string) cover.Place {
 	return d.placeIn(d.cfg.Ranked(rankKey), box)
 }
@@ -63,14 +63,15 @@
 	return cover.Place{Rank: slices.Index(order, box), Boxes: len(order), Readers: d.cfg.Readers}
 }
 
-// Reading says whether this box reads the platform itself.
+// Reading reports whether this box reads the platform itself.
 func (d *Discoverer) Reading() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.shared.decided.Read
+	return d.exchange.decided.Read
 }
 
-// decide says whether this box has to read the platform itself.
+// decide returns, and records, whether this box has to read the platform itself and
+// announce what it reads.
 func (d *Discoverer) decide(now time.Time) cover.Decision {
 	if d.cfg.Peers == nil {
 		return cover.Decision{Read: true, Tell: true}
@@ -78,21 +79,21 @@
 	place := d.place(d.cfg.Self)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	decided := d.shared.cover.Decide(now, place)
-	if decided.Read != d.shared.decided.Read {
+	decision := d.exchange.cover.Decide(now, place)
+	if decision.Read != d.exchange.decided.Read {
 		d.cfg.Log.WithFields(log.Fields{
-			"watching": decided.Read,
+			"watching": decision.Read,
 			"position": d.known.At(),
 			"rank":     place.Rank,
 			"boxes":    place.Boxes,
-			"lost":     d.shared.cover.Lost(now),
+			"lost":     d.exchange.cover.Lost(now),
 		}).Info("endpoint_watch_changed")
 	}
-	d.shared.decided = decided
-	return decided
+	d.exchange.decided = decision
+	return decision
 }
 
-// noteRead takes in whether this box's own read of the platform worked.
+// noteRead records whether this box's own read of the platform succeeded.
 func (d *Discoverer) noteRead(worked bool) {
 	if d.cfg.Peers == nil {
 		return
@@ -100,172 +101,176 @@
 	place := d.place(d.cfg.Self)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.shared.cover = d.shared.cover.WithRead(time.Now(), place, worked, rand.Float64())
+	d.exchange.cover = d.exchange.cover.WithRead(time.Now(), place, worked, rand.Float64())
 }
 
-// standbyStep is how much later each further reader tells what it has read, unless
-// another one has told it by then: some round trips between boxes. Three readers that
-// all told at once sent each change three times to all boxes, as a change ends the
-// waits of all three.
+// standbyStep is the extra delay, per rank, after which a further reader announces what it
+// has read, unless another one has announced it by then; it covers some round trips
+// between boxes. When all three readers announced at once, each change was sent three
+// times to all boxes, because a change ends the waits of all three.
 const standbyStep = 100 * time.Millisecond
 
-// tell passes on what this box has read from the platform, if it reads it for
-// others too: at once if it is the first of the readers or stands in for them.
-func (d *Discoverer) tell(n directory.Update) { d.tellUnless(n, n.At) }
+// announce sends what this box has read from the platform to the others, if it reads for
+// them: at once if it is the first reader or stands in for the readers.
+func (d *Discoverer) announce(u directory.Update) { d.announceUnless(u, u.At) }
 
-// tellUnless tells as a further reader only if no other box has told the changes up
-// to a position.
-func (d *Discoverer) tellUnless(n directory.Update, told uint64) {
+// announceUnless is like announce, but a further reader sends the update in full only if
+// no other box has announced the changes up to a position.
+func (d *Discoverer) announceUnless(u directory.Update, announced uint64) {
 	if d.cfg.Peers == nil || !d.decide(time.Now()).Tell {
 		return
 	}
 	place := d.place(d.cfg.Self)
-	if len(n.Changes) == 0 || place.Rank == 0 || !place.Reader() {
-		d.send(n)
+	if len(u.Changes) == 0 || place.Rank == 0 || !place.Reader() {
+		d.send(u)
 		return
 	}
 	time.AfterFunc(time.Duration(place.Rank)*standbyStep, func() {
-		switch known := d.toldAt() >= told; {
-		case known && n.Whole:
+		switch known := d.announcedPosition() >= announced; {
+		case known && u.Whole:
 			return
 		case known:
-			// The word alone: a box that has missed the changes asks for them.
-			n = directory.Update{After: n.At, At: n.At}
+			// Send only the position: a box that has missed the changes pulls them.
+			u = directory.Update{After: u.At, At: u.At}
 		}
-		d.send(n)
+		d.send(u)
 	})
 }
 
-// toldAt is up to where another box of the region has told the changes.
-func (d *Discoverer) toldAt() uint64 {
+// announcedPosition returns the latest position that another box of the region has
+// announced.
+func (d *Discoverer) announcedPosition() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.shared.told
+	return d.exchange.announced
 }
 
-// send sends an update of this box to the others.
-func (d *Discoverer) send(n directory.Update) {
+// send numbers an update of this box and sends it within the region and to the other
+// regions.
+func (d *Discoverer) send(u directory.Update) {
 	d.mutex.Lock()
-	d.shared.sequence++
-	n.Origin, n.Sequence = d.cfg.Self, d.shared.sequence
+	d.exchange.sequence++
+	u.Origin, u.Sequence = d.cfg.Self, d.exchange.sequence
 	d.mutex.Unlock()
-	d.pass(n)
-	d.passAcross(n)
+	d.forward(u)
+	d.sendToOtherRegions(u)
 }
 
-// lostUpdate tells that the platform was lost, or is back: nothing has changed as
-// far as this box knows, and it covers nobody.
+// lostUpdate returns an update which says that this box lost the platform or regained it:
+// it contains no changes and doesn't count as coverage for other boxes.
 func (d *Discoverer) lostUpdate() directory.Update {
 	at := d.Directory().At()
 	return directory.Update{After: at, At: at, Lost: true}
 }
 
-// pass sends an update to this box's children in its region's tree, whose root is
-// the origin or the box that took the update in for the region. So no box sends to
-// more than a few.
-func (d *Discoverer) pass(n directory.Update) {
-	to := spread.Below(spread.Draw(d.cfg.Tree, d.cfg.Ranked, treeKey(n.Origin), n.Origin), d.cfg.Self)
+// forward sends an update to this box's children in its region's tree, whose root is the
+// origin or the box that receives updates on behalf of the region. So no box sends to more
+// than a few.
+func (d *Discoverer) forward(u directory.Update) {
+	to := spread.Below(spread.Draw(d.cfg.Tree, d.cfg.Ranked, treeKey(u.Origin), u.Origin), d.cfg.Self)
 	if len(to) == 0 {
 		return
 	}
-	if n.Whole {
-		d.noteListPassed(to)
+	if u.Whole {
+		d.noteListForwarded(to)
 	}
-	d.cfg.Peers.SendUpdate(n, to...)
+	d.cfg.Peers.SendUpdate(u, to...)
 }
 
-// treeKey is what the tree of an origin's updates is drawn from.
+// treeKey returns the key from which the tree of an origin's updates is derived.
 func treeKey(origin string) string { return rankKey + "@" + origin }
 
-// passAcross sends an update of this box to one box of each other region. There it
-// counts only while that region's own readers are silent: a region may have lost
-// the platform and not the other boxes. That this region has lost the platform
-// proves nothing there, and whole lists are asked for.
-func (d *Discoverer) passAcross(n directory.Update) {
-	if d.cfg.Heads == nil || n.Lost || n.Whole {
+// sendToOtherRegions sends an update of this box to one box of each other region, which
+// forwards it only while that region's own readers are silent: a region may have lost the
+// platform but not the other boxes. Updates about a lost platform aren't sent, because
+// they prove nothing about another region's access to it; nor are whole lists, which boxes
+// pull when they need them.
+func (d *Discoverer) sendToOtherRegions(u directory.Update) {
+	if d.cfg.Heads == nil || u.Lost || u.Whole {
 		return
 	}
-	if to := d.cfg.Heads(treeKey(n.Origin)); len(to) > 0 {
-		d.cfg.Peers.SendUpdate(n, to...)
+	if to := d.cfg.Heads(treeKey(u.Origin)); len(to) > 0 {
+		d.cfg.Peers.SendUpdate(u, to...)
 	}
 }
 
-// Receive takes an update from another box and passes it on. One without an origin
-// is the answer to this box's own question, and goes no further.
-func (d *Discoverer) Receive(from string, n directory.Update) {
+// Receive applies an update from another box and forwards it. An update without an origin
+// is the answer to this box's own pull and isn't forwarded.
+func (d *Discoverer) Receive(from string, u directory.Update) {
 	now := time.Now()
-	answer := n.Origin == ""
-	if !answer && !d.unseen(now, n) {
+	answer := u.Origin == ""
+	if !answer && !d.noteSequence(now, u) {
 		return
 	}
-	if d.Directory().Fits(n) {
-		d.fill(now, n)
+	if d.Directory().Fits(u) {
+		d.applyWithHeld(now, u)
 	} else {
-		d.hold(now, from, n)
+		d.hold(now, from, u)
 	}
-	if n.Lost {
+	if u.Lost {
 		d.noteLost(now)
 	}
-	if !answer && d.passes(now, n) {
-		d.pass(n)
+	if !answer && d.shouldForward(now, u) {
+		d.forward(u)
 	}
 }
 
-// noteLost takes in that a reader has lost the platform. The first word of it
-// ends this box's own waits, which may wait in vain.
+// noteLost records that a reader has lost the platform. The first such report ends this
+// box's own waits, which may never return.
 func (d *Discoverer) noteLost(now time.Time) {
 	place := d.place(d.cfg.Self)
 	d.mutex.Lock()
-	first := !d.shared.cover.Lost(now)
-	d.shared.cover = d.shared.cover.WithLost(now, place, rand.Float64())
+	first := !d.exchange.cover.Lost(now)
+	d.exchange.cover = d.exchange.cover.WithLost(now, place, rand.Float64())
 	d.mutex.Unlock()
 	if first {
-		d.lost()
+		d.notifyLost()
 	}
 }
 
-// passes says whether an update goes on to the boxes after this one.
-func (d *Discoverer) passes(now time.Time, n directory.Update) bool {
-	origin := d.place(n.Origin)
+// shouldForward reports whether an update is forwarded to this box's children.
+func (d *Discoverer) shouldForward(now time.Time, u directory.Update) bool {
+	origin := d.place(u.Origin)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.shared.cover.Passes(now, origin)
+	return d.exchange.cover.Passes(now, origin)
 }
 
-// unseen notes an update and says whether it has not been here before.
-func (d *Discoverer) unseen(now time.Time, n directory.Update) bool {
+// noteSequence records an update's sequence number and reports whether the update is new
+// to this box.
+func (d *Discoverer) noteSequence(now time.Time, u directory.Update) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	last := d.shared.seen[n.Origin]
-	if n.Origin == d.cfg.Self || n.Sequence <= last.sequence && now.Sub(last.at) < forgetUpdates {
+	last := d.exchange.seen[u.Origin]
+	if u.Origin == d.cfg.Self || u.Sequence <= last.sequence && now.Sub(last.at) < sequenceMemory {
 		return false
 	}
-	d.shared.seen[n.Origin] = heard{sequence: n.Sequence, at: now}
+	d.exchange.seen[u.Origin] = lastUpdate{sequence: u.Sequence, at: now}
 	return true
 }
 
-// take puts an update that fits into force. One that is not older than what is
-// known here covers this box, unless it tells that the platform is lost.
-func (d *Discoverer) take(now time.Time, n directory.Update) {
+// apply applies an update that fits the directory. One that is at least as new as the
+// directory covers this box, unless it says that the platform is lost.
+func (d *Discoverer) apply(now time.Time, u directory.Update) {
 	order := d.cfg.Ranked(rankKey)
-	own, origin := d.placeIn(order, d.cfg.Self), d.placeIn(order, n.Origin)
+	own, origin := d.placeIn(order, d.cfg.Self), d.placeIn(order, u.Origin)
 	d.mutex.Lock()
 	if origin.Rank >= 0 {
-		d.shared.told = max(d.shared.told, n.At)
+		d.exchange.announced = max(d.exchange.announced, u.At)
 	}
-	covers := n.At >= d.known.At() && !n.Lost
+	covers := u.At >= d.known.At() && !u.Lost
 	if covers {
-		d.shared.cover = d.shared.cover.WithWord(now, own, origin)
+		d.exchange.cover = d.exchange.cover.WithWord(now, own, origin)
 	}
 	d.mutex.Unlock()
 	if covers {
 		d.noteHeard(now)
 	}
-	d.noteReturn(now, n.At)
+	d.noteRestore(now, u.At)
 	d.update(func(known directory.Directory) directory.Directory {
-		if n.At > known.At() {
-			d.remember(n)
+		if u.At > known.At() {
+			d.addToHistory(u)
 		}
-		return known.WithUpdate(now, n)
+		return known.WithUpdate(now, u)
 	})
 }
--- a/coordination/discover/share_test.go
+++ b/coordination/discover/share_test.go
@@ -18,22 +18,22 @@
 	"runridge.example/runridge/state/rank"
 )
 
-// fleet is boxes whose updates reach the others at once.
+// fleet is a set of boxes whose messages reach the others at once.
 type fleet struct {
 	names []string
-	// mutex guards the counts and cut.
+	// mutex guards got, pulls, payload and cut.
 	mutex sync.Mutex
 	boxes map[string]*Discoverer
-	// got counts the updates that each box was sent, and pulls the questions.
+	// got counts the updates sent to each box, and pulls the pulls.
 	got, pulls map[string]int
-	// payload counts the updates with changes, if it is set.
+	// payload counts the updates with changes sent to each box; nil counts none.
 	payload map[string]int
 	cut     map[string]bool
-	// sources are the platform as some of the boxes see it.
+	// sources overrides the platform for some boxes.
 	sources map[string]Source
-	// listedAfter is how long the list of boxes takes to read.
+	// listedAfter is how long a read of the list of boxes takes.
 	listedAfter time.Duration
-	// lose drops a message; nil loses none.
+	// lose reports whether a message is lost; nil loses none.
 	lose func(from, to string) bool
 }
 
@@ -50,10 +50,10 @@
 
 func (f *fleet) ranked(key string) []string { return rank.Of(f.names).Order(key) }
 
-// watchers are the boxes that follow the list for all, and other is the last
-// in rank.
-func (f *fleet) watchers() []string { return f.ranked(rankKey)[:cover.Readers] }
-func (f *fleet) other() string      { return f.ranked(rankKey)[len(f.names)-1] }
+// readers returns the boxes that read the list for all, and lastRanked the last box in
+// rank.
+func (f *fleet) readers() []string  { return f.ranked(rankKey)[:cover.Readers] }
+func (f *fleet) lastRanked() string { return f.ranked(rankKey)[len(f.names)-1] }
 
 type link struct {
 	f    *fleet
@@ -68,7 +68,7 @@
 	}
 }
 
-// arrives counts an update to a box and says whether it gets there.
+// arrives reports whether an update reaches a box, and counts it if it does.
 func (f *fleet) arrives(from, box string, payload bool) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -94,8 +94,8 @@
 
 func TestUpdatesReachEveryBoxOnce(t *testing.T) {
 	f := newFleet(150, nil)
-	first := f.watchers()[0]
-	f.boxes[first].tell(directory.Update{After: 0, At: 3, Changes: []directory.Change{{Entry: entry("a")}}})
+	first := f.readers()[0]
+	f.boxes[first].announce(directory.Update{After: 0, At: 3, Changes: []directory.Change{{Entry: entry("a")}}})
 	for _, name := range f.names {
 		want := 1
 		if name == first {
@@ -108,42 +108,42 @@
 			t.Errorf("%s stands at %d", name, at)
 		}
 	}
-	f.boxes[f.other()].tell(directory.Update{After: 3, At: 4})
+	f.boxes[f.lastRanked()].announce(directory.Update{After: 3, At: 4})
 	for _, name := range f.names {
 		if at := f.boxes[name].Directory().At(); at == 4 {
-			t.Errorf("%s heard from a box that reads for nobody", name)
+			t.Errorf("%s received an update from a box that reads for nobody", name)
 		}
 	}
 }
 
-func TestChangesAreToldOnce(t *testing.T) {
+func TestChangesAreAnnouncedOnce(t *testing.T) {
 	cases := map[string]struct {
-		// silent is how many of the readers, the first in rank, tell nothing.
+		// silent is how many of the readers, first in rank, announce nothing.
 		silent int
 		within time.Duration
 	}{
-		"the first reader tells":             {within: 0},
-		"the second one in its place":        {silent: 1, within: standbyStep},
-		"the third one in place of the both": {silent: 2, within: 2 * standbyStep},
+		"the first reader announces":     {within: 0},
+		"the second one in its place":    {silent: 1, within: standbyStep},
+		"the third one in place of both": {silent: 2, within: 2 * standbyStep},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(50, nil)
-				told := make(map[string]int)
-				f.payload = told
-				for _, reader := range f.watchers()[c.silent:] {
-					f.boxes[reader].tell(directory.Update{At: 3, Changes: []directory.Change{{Entry: entry("a")}}})
+				payloads := make(map[string]int)
+				f.payload = payloads
+				for _, reader := range f.readers()[c.silent:] {
+					f.boxes[reader].announce(directory.Update{At: 3, Changes: []directory.Change{{Entry: entry("a")}}})
 				}
 				time.Sleep(c.within + time.Millisecond)
-				other := f.other()
+				other := f.lastRanked()
 				if at := f.boxes[other].Directory().At(); at != 3 {
 					t.Errorf("after %v the last box stands at %d", c.within, at)
 				}
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if told[other] != 1 {
-					t.Errorf("the last box got the changes %d times", told[other])
+				if payloads[other] != 1 {
+					t.Errorf("the last box got the changes %d times", payloads[other])
 				}
 			})
 		})
@@ -152,11 +152,11 @@
 
 func TestMissedUpdatesAreAskedFor(t *testing.T) {
 	f := newFleet(5, nil)
-	first, other := f.watchers()[0], f.other()
+	first, other := f.readers()[0], f.lastRanked()
 	step := func(at uint64, id string) {
 		n := directory.Update{After: at - 1, At: at, Changes: []directory.Change{{Entry: entry(id)}}}
 		f.boxes[first].update(func(d directory.Directory) directory.Directory { return d.WithUpdate(time.Time{}, n) })
-		f.boxes[first].tell(n)
+		f.boxes[first].announce(n)
 	}
 	step(1, "a")
 	f.cut[other] = true
@@ -165,25 +165,25 @@
 	step(3, "c")
 	d := f.boxes[other].Directory()
 	if d.Len() != 3 || d.At() != 3 {
-		t.Errorf("after a gap the box knows %d endpoints at %d, asked %v", d.Len(), d.At(), f.pulls)
+		t.Errorf("after a gap the box knows %d endpoints at %d, pulls %v", d.Len(), d.At(), f.pulls)
 	}
 }
 
 func TestUpdatesKeepABoxFromReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := scripted{calls: make(chan call)}
+		s := scriptedSource{calls: make(chan call)}
 		f := newFleet(6, s)
-		box := f.boxes[f.other()]
+		box := f.boxes[f.lastRanked()]
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
 		go func() { _ = box.Run(ctx) }()
 		s.next().reply <- reply{list: []directory.Entry{entry("a")}, at: 5}
 		synctest.Wait()
 		update := func(after, at uint64, lost bool) {
-			box.Receive(f.watchers()[0], directory.Update{Origin: f.watchers()[0], Sequence: at, After: after, At: at, Lost: lost})
+			box.Receive(f.readers()[0], directory.Update{Origin: f.readers()[0], Sequence: at, After: after, At: at, Lost: lost})
 		}
 		update(5, 6, false)
-		// From here on only updates come: no call may follow while it does.
+		// From here on only updates arrive, and no call may be made as long as they do.
 		for at := uint64(7); at < 12; at++ {
 			time.Sleep(cover.Validity / 2)
 			update(at-1, at, false)
@@ -217,8 +217,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(6, nil)
-				box := f.boxes[f.other()]
-				n.Origin = f.watchers()[0]
+				box := f.boxes[f.lastRanked()]
+				n.Origin = f.readers()[0]
 				box.update(func(d directory.Directory) directory.Directory {
 					return d.WithList(time.Now(), 5, []directory.Entry{entry("a")})
 				})
@@ -226,14 +226,14 @@
 				box.cfg.OnLost = func() { lost++ }
 				time.Sleep(10 * cover.Validity)
 				box.Receive(n.Origin, n)
-				// Longer than a box of six waits for its own try, and less than an update
-				// that fits would keep it from reading.
+				// Longer than a box in a fleet of six waits before its own attempt, and shorter
+				// than a fitting update would keep it from reading.
 				time.Sleep(cover.Validity/2 + 50*time.Millisecond)
 				if reads := box.decide(time.Now()).Read; reads == covers(n) {
 					t.Errorf("the box reads the list itself: %v", reads)
 				}
 				if n.Lost != (lost == 1) {
-					t.Errorf("told of a loss %d times", lost)
+					t.Errorf("notified of a loss %d times", lost)
 				}
 			})
 		})
@@ -242,11 +242,11 @@
 
 func TestUpdatesDoNotGoInCircles(t *testing.T) {
 	f := newFleet(20, nil)
-	// Each box ranks the others in an order of its own.
+	// Each box has its own order of the others.
 	for i, name := range f.names {
 		f.boxes[name].cfg.Ranked = func(string) []string { return append(slices.Clone(f.names[i:]), f.names[:i]...) }
 	}
-	f.boxes["b000"].tell(directory.Update{At: 1})
+	f.boxes["b000"].announce(directory.Update{At: 1})
 	for name, n := range f.got {
 		if n > 20 {
 			t.Errorf("%s got the same update %d times", name, n)
@@ -268,8 +268,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(6, nil)
-				box := f.boxes[f.other()]
-				from := f.watchers()[0]
+				box := f.boxes[f.lastRanked()]
+				from := f.readers()[0]
 				box.Receive(from, directory.Update{Origin: from, Sequence: 1, At: 5, Changes: []directory.Change{{Entry: entry("a")}}})
 				time.Sleep(c.away)
 				if c.failed {
--- a/coordination/discover/start_test.go
+++ b/coordination/discover/start_test.go
@@ -15,14 +15,14 @@
 	"runridge.example/runridge/state/directory"
 )
 
-// slowSource is a platform whose list takes a time to read.
+// slowSource is a platform whose list takes a while to read.
 type slowSource struct {
 	takes time.Duration
 	down  bool
 
 	mutex sync.Mutex
 	lists int
-	// ended are the lists that were read to their end.
+	// ended counts the reads of the list that completed.
 	ended int
 }
 
@@ -56,7 +56,7 @@
 	return nil, 0, ctx.Err()
 }
 
-// startAll starts all boxes of a fleet but some.
+// startAll starts all boxes of a fleet except the dead ones.
 func (f *fleet) startAll(t *testing.T, source *slowSource, dead map[string]bool) {
 	t.Helper()
 	ctx, end := context.WithCancel(t.Context())
@@ -67,8 +67,8 @@
 		if own, ok := f.sources[name]; ok {
 			box.cfg.Source = own
 		}
-		begun := time.Now()
-		listed := func() bool { return time.Since(begun) >= f.listedAfter }
+		start := time.Now()
+		listed := func() bool { return time.Since(start) >= f.listedAfter }
 		ranked := box.cfg.Ranked
 		box.cfg.Listed = listed
 		box.cfg.Ranked = func(key string) []string {
@@ -91,7 +91,7 @@
 	f.cut[name] = cut
 }
 
-func (f *fleet) knowing() int {
+func (f *fleet) countKnowing() int {
 	n := 0
 	for _, name := range f.names {
 		if f.boxes[name].Directory().Len() == 300 {
@@ -104,9 +104,9 @@
 func TestAFleetThatStartsReadsTheListFewTimes(t *testing.T) {
 	cases := map[string]struct {
 		boxes int
-		// listed is how long the list of boxes takes to read.
+		// listed is how long a read of the list of boxes takes.
 		listed time.Duration
-		// dead are how many of the readers do not start.
+		// dead is how many of the readers do not start.
 		dead  int
 		reads int
 	}{
@@ -123,7 +123,7 @@
 				source := &slowSource{takes: 400 * time.Millisecond}
 				f := newFleet(c.boxes, nil)
 				dead := make(map[string]bool)
-				for _, reader := range f.watchers()[:c.dead] {
+				for _, reader := range f.readers()[:c.dead] {
 					dead[reader] = true
 				}
 				f.listedAfter = c.listed
@@ -133,7 +133,7 @@
 				if source.lists != c.reads {
 					t.Errorf("the list is read %d times, want %d", source.lists, c.reads)
 				}
-				if knowing := f.knowing(); knowing < c.boxes-c.dead {
+				if knowing := f.countKnowing(); knowing < c.boxes-c.dead {
 					t.Errorf("%d of %d boxes know the endpoints after a second", knowing, c.boxes-c.dead)
 				}
 			})
@@ -141,19 +141,19 @@
 	}
 }
 
-func TestABoxThatHearsNoListReadsItself(t *testing.T) {
+func TestABoxThatReceivesNoListReadsItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &slowSource{takes: 10 * time.Millisecond}
 		f := newFleet(200, nil)
 		dead := make(map[string]bool)
 		for _, name := range f.names {
-			dead[name] = name != f.other()
+			dead[name] = name != f.lastRanked()
 		}
 		f.startAll(t, source, dead)
-		time.Sleep(listWait + longestStep + listAsk + 100*time.Millisecond)
+		time.Sleep(listWait + maxListWaitStep + pullTimeout + 100*time.Millisecond)
 		synctest.Wait()
-		if f.knowing() != 1 {
-			t.Errorf("a box that hears nobody knows no endpoints after %v", listWait)
+		if f.countKnowing() != 1 {
+			t.Errorf("a box that receives no list knows no endpoints after %v", listWait)
 		}
 	})
 }
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := &slowSource{takes: 400 * time.Millisecond}
 		f := newFleet(200, nil)
-		other := f.other()
+		other := f.lastRanked()
 		f.startAll(t, source, map[string]bool{other: true})
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
@@ -173,8 +173,8 @@
 		go func() { _ = f.boxes[other].Run(ctx) }()
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
-		if f.knowing() != 200 || source.lists != reads {
-			t.Errorf("%d boxes know the endpoints, after %d more reads", f.knowing(), source.lists-reads)
+		if f.countKnowing() != 200 || source.lists != reads {
+			t.Errorf("%d boxes know the endpoints, after %d more reads", f.countKnowing(), source.lists-reads)
 		}
 	})
 }
@@ -192,13 +192,13 @@
 		})
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		if f.knowing() != 200 {
-			t.Errorf("%d boxes know the endpoints", f.knowing())
+		if f.countKnowing() != 200 {
+			t.Errorf("%d boxes know the endpoints", f.countKnowing())
 		}
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		if source.ended != 0 || source.lists != 3 {
-			t.Errorf("of %d reads %d went on to their end", source.lists, source.ended)
+			t.Errorf("of %d reads %d completed", source.lists, source.ended)
 		}
 	})
 }
@@ -213,9 +213,9 @@
 
 func TestARegionFarFromThePlatformTakesTheOthersList(t *testing.T) {
 	cases := map[string]struct {
-		// dead says that the near region's first reader does not start.
+		// dead reports whether the near region's first reader does not start.
 		dead bool
-		// apart is how long nothing passes between the regions.
+		// apart is how long no message passes between the regions.
 		apart  time.Duration
 		within time.Duration
 	}{
@@ -226,23 +226,23 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, ways := twoRegions(300)
+				f, views := twoRegions(300)
 				slow := &slowSource{takes: time.Minute}
-				for _, box := range ways["b001"].Near(rankKey) {
+				for _, box := range views["b001"].Near(rankKey) {
 					f.sources[box] = slow
 				}
-				begun := time.Now()
+				start := time.Now()
 				f.lose = func(from, to string) bool {
-					return time.Since(begun) < c.apart && f.sources[from] != f.sources[to]
+					return time.Since(start) < c.apart && f.sources[from] != f.sources[to]
 				}
 				dead := make(map[string]bool)
 				if c.dead {
-					dead[ways["b000"].Near(rankKey)[0]] = true
+					dead[views["b000"].Near(rankKey)[0]] = true
 				}
 				f.startAll(t, &slowSource{takes: 400 * time.Millisecond}, dead)
 				time.Sleep(c.within)
 				synctest.Wait()
-				if knowing := f.knowing(); knowing < 300-len(dead) {
+				if knowing := f.countKnowing(); knowing < 300-len(dead) {
 					t.Errorf("%d of 300 boxes know the endpoints after %v", knowing, c.within)
 				}
 			})
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package drain keeps a box on the availability zones that the operator has
-// drained. The boxes that read the list of endpoints read these zones too, and send
-// them to the others at once. A box that missed it notices from the revision on each
-// membership message, and asks.
+// Package drain keeps a box informed of the availability zones that the operator has
+// drained. The boxes that read the list of endpoints read these zones too and send them to
+// the others at once. A box that missed an update notices it from the revision in each
+// membership message, and pulls.
 package drain
 
 import (
@@ -25,18 +25,18 @@
 
 // Source is the platform's list of drained zones.
 type Source interface {
-	// DrainedZones reads the whole list, never an old one, and the position that
-	// it stands at.
+	// DrainedZones reads the whole list, never a stale one, and returns it with the position
+	// at which it was read.
 	DrainedZones(ctx context.Context) ([]drain.Zone, uint64, error)
-	// DrainChanges waits for changes after a position, up to the context's end,
-	// and returns the position to go on from.
+	// DrainChanges waits until the context ends for changes after a position, and returns
+	// them with the position to continue from.
 	DrainChanges(ctx context.Context, after uint64) ([]drain.Change, uint64, error)
 }
 
-// Peers takes drained zones between boxes. Calls must not block.
+// Peers sends drained zones between boxes. Calls must not block.
 type Peers interface {
 	SendDrained(to string, u drain.Update)
-	// SendDrainedPull asks a box for what it knows.
+	// SendDrainedPull asks a box for all drained zones that it knows.
 	SendDrainedPull(to string)
 }
 
@@ -45,122 +45,124 @@
 	Self   string
 	Source Source
 	Peers  Peers
-	// Ranked lists the boxes with duties of this box's region in an order that all
-	// of them agree on for a key.
+	// Ranked returns the boxes with duties in this box's region, in an order for the key
+	// that all of them agree on.
 	Ranked func(key string) []string
-	// Tree orders them for the tree in which what an origin tells goes round; nil is by
-	// Ranked.
+	// Tree returns the same boxes in the order of the tree along which updates of an origin
+	// are forwarded; nil uses Ranked.
 	Tree func(key, origin string) []string
-	// Heads names the box of each other region that takes updates in for it, in the
-	// same order for a key; nil is none.
+	// Heads returns, for each other region, the box that receives updates on its behalf,
+	// chosen by the key in the same way everywhere; nil sends nothing to other regions.
 	Heads func(key string) []string
-	// Reads says whether this box reads the platform for all.
+	// Reads reports whether this box reads the platform for the others.
 	Reads func() bool
-	// OnChange gets the drained zones after each change, in order. It must not
-	// block.
+	// OnChange receives the drained zones after each change, in order. It must not block.
 	OnChange func(drain.Zones)
 	Log      log.Logger
 }
 
 const (
-	// wait bounds one wait for changes. A wait that the platform has dropped
-	// unnoticed must end well within the 5 s in which a drained zone has to be
-	// in force; three readers make 72 calls a minute by it.
-	wait = 2500 * time.Millisecond
-	// listTimeout bounds the reading of the list.
-	listTimeout  = 1200 * time.Millisecond
-	firstPause   = 50 * time.Millisecond
-	longestPause = time.Second
-	// look is how often a box looks whether it has become a reader.
-	look = 200 * time.Millisecond
-	// startPatience is how long a box that starts holds requests off until it
-	// knows the drained zones, from its start or the first message of another box:
-	// the other boxes answer within a second, and where neither they nor the
-	// platform do, it serves all the same.
-	startPatience = 2 * time.Second
-	// pullPause keeps one lag from being asked about with every message.
-	pullPause = 500 * time.Millisecond
-	// rankKey orders the boxes for how an update goes round.
+	// watchTimeout bounds one wait for changes. A wait that the platform has silently
+	// dropped must end well within the 5 s in which a drained zone has to be in force; with
+	// it three readers make 72 calls a minute.
+	watchTimeout = 2500 * time.Millisecond
+	// listTimeout bounds a read of the list.
+	listTimeout    = 1200 * time.Millisecond
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
+	// roleCheckInterval is how often a box checks whether it has become a reader.
+	roleCheckInterval = 200 * time.Millisecond
+	// maxStartWait is how long a starting box serves no requests until it knows the drained
+	// zones, counted from its start or from the first message of another box, whichever is
+	// later: the other boxes answer within a second, and if neither they nor the platform
+	// do, the box serves anyway.
+	maxStartWait = 2 * time.Second
+	// minPullInterval prevents a pull with every message while this box is behind.
+	minPullInterval = 500 * time.Millisecond
+	// rankKey is the key from which the trees that forward updates are derived.
 	rankKey = "drained"
 )
 
-// Keeper is the duty.
+// Keeper keeps this box's view of the drained zones up to date.
 type Keeper struct {
 	cfg     Config
 	started time.Time
-	// refresh ends the wait under way; the list is read anew.
+	// refresh ends the pending wait; the list is read again.
 	refresh *ring.Ring[struct{}]
 
 	mutex sync.Mutex
 	zones drain.Zones
-	// since is when each drained zone came into force here.
-	since  map[string]time.Time
-	pulled time.Time
-	// heldUntil is until when the zones that are known hold over the platform's list.
+	// since maps a zone to the time when its drain came into force on this box.
+	since    map[string]time.Time
+	lastPull time.Time
+	// heldUntil is the time until which the known zones override the platform's list, after
+	// the platform was restored from an older copy; zero means that they don't.
 	heldUntil time.Time
-	// heard is when another box was first heard; zero is never.
-	heard time.Time
-	// passed is the position of the last update of each origin that was passed on.
-	passed map[string]uint64
+	// firstHeard is when the first message of another box arrived; zero means never.
+	firstHeard time.Time
+	// forwarded maps an origin to the position of its last update that this box forwarded.
+	forwarded map[string]uint64
 }
 
-// New makes the duty; Run starts it.
+// New returns a Keeper; Run starts it.
 func New(cfg Config) *Keeper {
 	return &Keeper{
-		cfg:     cfg,
-		started: time.Now(),
-		refresh: ring.New[struct{}](1),
-		since:   make(map[string]time.Time),
-		passed:  make(map[string]uint64),
+		cfg:       cfg,
+		started:   time.Now(),
+		refresh:   ring.New[struct{}](1),
+		since:     make(map[string]time.Time),
+		forwarded: make(map[string]uint64),
 	}
 }
 
-// Zones are the drained zones as this box knows them.
+// Zones returns the drained zones as this box knows them.
 func (k *Keeper) Zones() drain.Zones {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.zones
 }
 
-// Ready says whether requests may be served: the drained zones are known, or neither
-// the platform nor another box has sent them in time.
+// Ready reports whether requests may be served: the drained zones are known, or neither
+// the platform nor another box has sent them within maxStartWait.
 func (k *Keeper) Ready() bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	asking := k.started
-	if k.heard.After(asking) {
-		asking = k.heard
+	if k.firstHeard.After(asking) {
+		asking = k.firstHeard
 	}
-	return k.zones.Known() || time.Since(asking) >= startPatience
+	return k.zones.Known() || time.Since(asking) >= maxStartWait
 }
 
-// Refresh has the list read anew at once: the platform has forgotten its history, or
-// was lost, so that a wait under way may never end.
+// Refresh makes the keeper read the list again at once. It is called when the platform has
+// dropped its history or was lost, because a pending wait may then never end.
 func (k *Keeper) Refresh() {
-	// One that waits already says the same.
+	// A queued refresh serves this call too.
 	_ = k.refresh.Offer(struct{}{})
 }
 
-// Run follows the list until the context ends.
+// Run reads the list and its changes until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = firstPause
-	pauses.MaxInterval = longestPause
-	// The first list is each box's own: it must not serve by what others missed.
+	pauses.InitialInterval = initialBackoff
+	pauses.MaxInterval = maxBackoff
+	// Each box reads its first list itself: it must not serve on the basis of an update that
+	// the others have missed.
 	first, whole, lost := true, true, false
 	for ctx.Err() == nil {
 		if !first && !k.cfg.Reads() {
-			// What happens meanwhile comes from others.
+			// Changes arrive from other boxes meanwhile.
 			whole = true
-			sleep.For(ctx, look)
+			sleep.For(ctx, roleCheckInterval)
 			continue
 		}
-		whole = k.rereads(time.Now()) || whole
-		err := k.once(ctx, whole)
+		whole = k.takeRereadDue(time.Now()) || whole
+		err := k.readOnce(ctx, whole)
 		switch {
 		case err == nil:
 			if !whole {
-				// The list alone does not show that changes can be followed.
+				// Reading the list doesn't prove that changes can be watched, so only a finished
+				// wait resets the backoff.
 				pauses.Reset()
 			}
 			if lost {
@@ -180,10 +182,10 @@
 	return nil
 }
 
-// errRefresh ends a wait because the list has to be read anew.
+// errRefresh is returned for a wait that a refresh ended, so that the list is read again.
 var errRefresh = errors.New("the list is read anew")
 
-// endOnRefresh ends a wait when a refresh is asked for.
+// endOnRefresh cancels a wait when a refresh is requested.
 func (k *Keeper) endOnRefresh(call context.Context, end context.CancelFunc) {
 	select {
 	case <-call.Done():
@@ -192,12 +194,12 @@
 	}
 }
 
-// once reads the whole list, or waits for changes.
-func (k *Keeper) once(ctx context.Context, whole bool) error {
+// readOnce reads the whole list, or waits for changes, and publishes what is new.
+func (k *Keeper) readOnce(ctx context.Context, whole bool) error {
 	if whole {
 		return k.readList(ctx)
 	}
-	call, cancel := context.WithTimeout(ctx, wait)
+	call, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	go k.endOnRefresh(call, cancel)
 	changes, at, err := k.cfg.Source.DrainChanges(call, k.Zones().At())
@@ -211,8 +213,9 @@
 	return nil
 }
 
-// readList reads the whole list. A box that reads for all sends it on even if
-// nothing is new to it: others may know of drains that ended while no box looked.
+// readList reads the whole list. A box that reads for others sends it to them even if it
+// contains nothing new to this box: others may hold drains that ended while no box was
+// reading.
 func (k *Keeper) readList(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -220,7 +223,7 @@
 	if err != nil {
 		return err
 	}
-	held := k.noteReturn(time.Now(), at)
+	held := k.noteRestore(time.Now(), at)
 	k.update("platform", func(z drain.Zones) drain.Zones {
 		if held {
 			return z.AtReturn(at, list)
@@ -231,18 +234,21 @@
 	return nil
 }
 
-// heldFor is for how long the zones that are known hold over the list of a platform that
-// came back older: the operator writes again what it has lost. Changes hold at once.
-const heldFor = 5 * time.Second
+// holdAfterRestore is how long the known zones override the list of a platform that was
+// restored from an older copy, until the operator has rewritten what was lost. Changes
+// apply at once.
+const holdAfterRestore = 5 * time.Second
 
-// noteReturn takes in that the platform has come back older, if a position tells so, before
-// what it said is taken in. It says whether the zones known here hold over its list.
-func (k *Keeper) noteReturn(now time.Time, at uint64) bool {
+// noteRestore checks whether the position at shows that the platform was restored from an
+// older copy, and if so keeps the known zones for holdAfterRestore. It reports whether the
+// known zones override the platform's list now. It is called before what was read at that
+// position is applied.
+func (k *Keeper) noteRestore(now time.Time, at uint64) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	before := k.zones.At()
 	if k.zones.Known() && position.Era(at) > position.Era(before) {
-		k.heldUntil = now.Add(heldFor)
+		k.heldUntil = now.Add(holdAfterRestore)
 		k.cfg.Log.WithFields(log.Fields{
 			"era": position.Era(at), "position": at, "era_before": position.Era(before), "position_before": before,
 		}).Warn("drained_zones_came_back_older")
@@ -250,9 +256,9 @@
 	return now.Before(k.heldUntil)
 }
 
-// rereads says whether the list is due once more since the zones that were known no longer
-// hold over it.
-func (k *Keeper) rereads(now time.Time) bool {
+// takeRereadDue reports whether the list has to be read once more because the known zones
+// no longer override it, and ends that override.
+func (k *Keeper) takeRereadDue(now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	due := !k.heldUntil.IsZero() && !now.Before(k.heldUntil)
@@ -262,8 +268,8 @@
 	return due
 }
 
-// update puts what was learnt into force, and says whether the drained zones are
-// others now.
+// update applies a change to the drained zones, logs it and calls OnChange, and reports
+// whether the zones differ from before. The source of the change, from, is only logged.
 func (k *Keeper) update(from string, change func(drain.Zones) drain.Zones) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -274,8 +280,8 @@
 	}
 	k.noteSince(time.Now())
 	k.cfg.Log.WithFields(log.Fields{
-		"zones":    names(k.zones.Drained()),
-		"before":   names(old.Drained()),
+		"zones":    zoneNames(k.zones.Drained()),
+		"before":   zoneNames(old.Drained()),
 		"revision": k.zones.Revision(),
 		"position": k.zones.At(),
 		"from":     from,
@@ -284,7 +290,7 @@
 	return true
 }
 
-// noteSince keeps since when each zone is drained here. The mutex is held.
+// noteSince updates since for the zones that are drained now. The caller holds the mutex.
 func (k *Keeper) noteSince(now time.Time) {
 	since := make(map[string]time.Time)
 	for _, zone := range k.zones.Drained() {
@@ -296,7 +302,7 @@
 	k.since = since
 }
 
-func names(zones []drain.Zone) []string {
+func zoneNames(zones []drain.Zone) []string {
 	out := make([]string, 0, len(zones))
 	for _, zone := range zones {
 		out = append(out, zone.Name)
--- a/coordination/drain/drain_test.go
+++ b/coordination/drain/drain_test.go
@@ -22,7 +22,7 @@
 	"runridge.example/runridge/state/spread"
 )
 
-// call is one call to the platform; the test answers it.
+// call is a call to the platform that the test answers.
 type call struct {
 	list  bool
 	after uint64
@@ -37,9 +37,9 @@
 	err     error
 }
 
-type scripted struct{ calls chan call }
+type scriptedSource struct{ calls chan call }
 
-func (s scripted) ask(ctx context.Context, c call) reply {
+func (s scriptedSource) call(ctx context.Context, c call) reply {
 	c.reply, c.ended = make(chan reply, 1), ctx.Done()
 	select {
 	case s.calls <- c:
@@ -54,28 +54,28 @@
 	}
 }
 
-func (s scripted) DrainedZones(ctx context.Context) ([]drain.Zone, uint64, error) {
-	r := s.ask(ctx, call{list: true})
+func (s scriptedSource) DrainedZones(ctx context.Context) ([]drain.Zone, uint64, error) {
+	r := s.call(ctx, call{list: true})
 	return r.zones, r.at, r.err
 }
 
-func (s scripted) DrainChanges(ctx context.Context, after uint64) ([]drain.Change, uint64, error) {
-	r := s.ask(ctx, call{after: after})
+func (s scriptedSource) DrainChanges(ctx context.Context, after uint64) ([]drain.Change, uint64, error) {
+	r := s.call(ctx, call{after: after})
 	return r.changes, r.at, r.err
 }
 
-// fleet is boxes whose messages reach the others at once.
+// fleet is a set of boxes whose messages reach the others at once.
 type fleet struct {
 	names []string
 	boxes map[string]*Keeper
-	// sent counts the updates that each box was sent, and pulls the questions.
+	// sent counts the updates sent to each box, and pulls the pulls.
 	sent, pulls map[string]int
 	cut         map[string]bool
-	// force is what each box was told to put into force.
-	force map[string]map[string]bool
-	reads map[string]bool
-	// zones are those of the boxes, where these matter, and crossed counts the
-	// updates from one to another.
+	// inForce holds the drained zones that each box last passed to OnChange.
+	inForce map[string]map[string]bool
+	reads   map[string]bool
+	// zones maps a box to its zone, in tests where that matters; crossed counts the updates
+	// sent from one zone to another.
 	zones   map[string]string
 	crossed int
 }
@@ -83,7 +83,7 @@
 func newFleet(n int, source Source) *fleet {
 	f := &fleet{
 		boxes: make(map[string]*Keeper), sent: make(map[string]int), pulls: make(map[string]int),
-		cut: make(map[string]bool), force: make(map[string]map[string]bool), reads: make(map[string]bool),
+		cut: make(map[string]bool), inForce: make(map[string]map[string]bool), reads: make(map[string]bool),
 		zones: make(map[string]string),
 	}
 	for i := range n {
@@ -94,7 +94,7 @@
 			Self: name, Source: source, Peers: link{f, name},
 			Ranked:   func(key string) []string { return rank.Of(f.names).Order(key) },
 			Reads:    func() bool { return f.reads[name] },
-			OnChange: func(z drain.Zones) { f.force[name] = z.Names() },
+			OnChange: func(z drain.Zones) { f.inForce[name] = z.Names() },
 			Log:      log.Discard(),
 		})
 	}
@@ -123,14 +123,14 @@
 	}
 }
 
-// read has a box read a list, and tell it.
-func (f *fleet) read(box string, at uint64, zones ...drain.Zone) {
+// readList makes a box read a list and publish it.
+func (f *fleet) readList(box string, at uint64, zones ...drain.Zone) {
 	k := f.boxes[box]
 	k.publish(k.update("platform", func(z drain.Zones) drain.Zones { return z.WithList(at, zones) }))
 }
 
-// chat has each box name its version to each other one.
-func (f *fleet) chat() {
+// exchangeVersions makes each box report its version to each other one.
+func (f *fleet) exchangeVersions() {
 	for _, from := range f.names {
 		for _, to := range f.names {
 			if from != to && !f.cut[from] && !f.cut[to] {
@@ -140,10 +140,10 @@
 	}
 }
 
-// drained says on how many boxes zoneA is in force as drained.
-func (f *fleet) drained() int {
+// countDrained returns the number of boxes on which zoneA is in force as drained.
+func (f *fleet) countDrained() int {
 	n := 0
-	for _, zones := range f.force {
+	for _, zones := range f.inForce {
 		if zones[zoneA.Name] {
 			n++
 		}
@@ -155,8 +155,8 @@
 
 func TestUpdatesReachEveryBox(t *testing.T) {
 	f := newFleet(150, nil)
-	f.read("b003", 8, zoneA)
-	if n := f.drained(); n != 150 {
+	f.readList("b003", 8, zoneA)
+	if n := f.countDrained(); n != 150 {
 		t.Errorf("drained on %d of 150 boxes", n)
 	}
 	for name, n := range f.sent {
@@ -164,14 +164,14 @@
 			t.Errorf("%s got the update %d times", name, n)
 		}
 	}
-	f.read("b005", 12)
-	if n := f.drained(); n != 0 {
+	f.readList("b005", 12)
+	if n := f.countDrained(); n != 0 {
 		t.Errorf("taken back, and still drained on %d boxes", n)
 	}
 }
 
-// TestUpdatesCrossOnce holds that an update reaches each box of two regions once, and
-// goes from one to the other in a single message.
+// TestUpdatesCrossOnce checks that an update reaches each box of two regions once, and
+// crosses from one region to the other in a single message.
 func TestUpdatesCrossOnce(t *testing.T) {
 	f := newFleet(150, nil)
 	regions := locality.New(map[string]string{"n": "north", "s": "south"})
@@ -181,11 +181,11 @@
 	}
 	for _, b := range boxes {
 		f.zones[b.Name] = b.Zone
-		way := spread.New(b, boxes, regions)
-		f.boxes[b.Name].cfg.Ranked, f.boxes[b.Name].cfg.Heads = way.Near, way.Heads
+		view := spread.New(b, boxes, regions)
+		f.boxes[b.Name].cfg.Ranked, f.boxes[b.Name].cfg.Heads = view.Near, view.Heads
 	}
-	f.read("b003", 8, zoneA)
-	if n := f.drained(); n != 150 {
+	f.readList("b003", 8, zoneA)
+	if n := f.countDrained(); n != 150 {
 		t.Errorf("drained on %d of 150 boxes", n)
 	}
 	if f.crossed != 1 {
@@ -200,18 +200,18 @@
 
 func TestMissedUpdatesAreAskedFor(t *testing.T) {
 	cases := map[string]struct {
-		// missed happens while the last box is cut off.
+		// missed runs while the last box is cut off.
 		missed func(f *fleet)
 		want   map[string]bool
 	}{
-		"a drain":                {func(f *fleet) { f.read("b000", 20, zoneA, drain.Zone{Name: "zone-b", Revision: 19}) }, map[string]bool{"zone-a": true, "zone-b": true}},
-		"one that is taken back": {func(f *fleet) { f.read("b000", 20) }, map[string]bool{}},
+		"a drain":                {func(f *fleet) { f.readList("b000", 20, zoneA, drain.Zone{Name: "zone-b", Revision: 19}) }, map[string]bool{"zone-a": true, "zone-b": true}},
+		"one that is taken back": {func(f *fleet) { f.readList("b000", 20) }, map[string]bool{}},
 		"one that ended while all others started anew": {
 			func(f *fleet) {
 				fresh := newFleet(len(f.names), nil)
 				for _, name := range f.names[:len(f.names)-1] {
 					f.boxes[name].zones = fresh.boxes[name].zones
-					f.read(name, 20)
+					f.readList(name, 20)
 				}
 			},
 			map[string]bool{},
@@ -223,22 +223,22 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(6, nil)
 				other := f.names[5]
-				f.read("b000", 8, zoneA)
+				f.readList("b000", 8, zoneA)
 				f.cut[other] = true
 				c.missed(f)
 				f.cut[other] = false
 				for range 4 {
-					time.Sleep(pullPause)
-					f.chat()
+					time.Sleep(minPullInterval)
+					f.exchangeVersions()
 				}
 				for _, name := range f.names {
-					if !maps.Equal(f.force[name], c.want) {
-						t.Errorf("%s has %v in force, want %v", name, f.force[name], c.want)
+					if !maps.Equal(f.inForce[name], c.want) {
+						t.Errorf("%s has %v in force, want %v", name, f.inForce[name], c.want)
 					}
 				}
 				asked := maps.Clone(f.pulls)
-				time.Sleep(pullPause)
-				f.chat()
+				time.Sleep(minPullInterval)
+				f.exchangeVersions()
 				if !maps.Equal(asked, f.pulls) {
 					t.Errorf("boxes that agree go on asking: %v, then %v", asked, f.pulls)
 				}
@@ -249,10 +249,10 @@
 
 var errBusy = errors.New("busy")
 
-// begin runs the first box of a fleet.
-func begin(t *testing.T, reads bool) (*fleet, *Keeper, scripted) {
+// startKeeper runs the first box of a fleet.
+func startKeeper(t *testing.T, reads bool) (*fleet, *Keeper, scriptedSource) {
 	t.Helper()
-	s := scripted{calls: make(chan call)}
+	s := scriptedSource{calls: make(chan call)}
 	f := newFleet(3, s)
 	f.reads["b000"] = reads
 	k := f.boxes["b000"]
@@ -269,8 +269,8 @@
 	return f, k, s
 }
 
-// next is the next call, or none within a time.
-func (s scripted) next(within time.Duration) (call, bool) {
+// next returns the next call, and whether one came in time.
+func (s scriptedSource) next(within time.Duration) (call, bool) {
 	select {
 	case c := <-s.calls:
 		return c, true
@@ -280,44 +280,44 @@
 }
 
 func TestReader(t *testing.T) {
-	// Each case begins with a list at 8 and a wait for changes under way.
-	cases := map[string]func(t *testing.T, f *fleet, k *Keeper, s scripted, first call){
-		"a change is told to all at once": func(t *testing.T, f *fleet, _ *Keeper, _ scripted, first call) {
+	// Each case starts with a list at position 8 and a pending wait for changes.
+	cases := map[string]func(t *testing.T, f *fleet, k *Keeper, s scriptedSource, first call){
+		"a change is sent to all at once": func(t *testing.T, f *fleet, _ *Keeper, _ scriptedSource, first call) {
 			first.reply <- reply{changes: []drain.Change{{Zone: zoneA}}, at: 9}
 			synctest.Wait()
-			if n := f.drained(); n != 3 {
+			if n := f.countDrained(); n != 3 {
 				t.Errorf("drained on %d of 3 boxes", n)
 			}
 		},
-		"a wait that never ends is made anew": func(t *testing.T, _ *fleet, _ *Keeper, s scripted, _ call) {
-			if c, ok := s.next(wait + firstPause*2); !ok || c.list || c.after != 8 {
+		"a wait that never ends is repeated": func(t *testing.T, _ *fleet, _ *Keeper, s scriptedSource, _ call) {
+			if c, ok := s.next(watchTimeout + initialBackoff*2); !ok || c.list || c.after != 8 {
 				t.Errorf("next call %v: %+v", ok, c)
 			}
 		},
-		"a forgotten history has the list read": func(t *testing.T, f *fleet, _ *Keeper, s scripted, first call) {
+		"after a dropped history the list is read": func(t *testing.T, f *fleet, _ *Keeper, s scriptedSource, first call) {
 			first.reply <- reply{err: adapter.ErrHistoryGone}
-			c, _ := s.next(longestPause)
+			c, _ := s.next(maxBackoff)
 			if !c.list {
 				t.Fatalf("next call: %+v", c)
 			}
 			c.reply <- reply{zones: []drain.Zone{zoneA}, at: 12}
 			synctest.Wait()
-			if n := f.drained(); n != 3 {
+			if n := f.countDrained(); n != 3 {
 				t.Errorf("drained on %d of 3 boxes", n)
 			}
 		},
-		"a refresh ends a wait that may hear nothing": func(t *testing.T, _ *fleet, k *Keeper, s scripted, first call) {
+		"a refresh ends a wait that may never return": func(t *testing.T, _ *fleet, k *Keeper, s scriptedSource, first call) {
 			k.Refresh()
 			<-first.ended
-			if c, _ := s.next(longestPause); !c.list {
+			if c, _ := s.next(maxBackoff); !c.list {
 				t.Errorf("next call: %+v", c)
 			}
 		},
-		"a platform that is away is asked again, at most each second": func(t *testing.T, _ *fleet, _ *Keeper, s scripted, first call) {
+		"an unavailable platform is asked again, after bounded pauses": func(t *testing.T, _ *fleet, _ *Keeper, s scriptedSource, first call) {
 			first.reply <- reply{err: errBusy}
 			calls := 0
 			for end := time.Now().Add(10 * time.Second); time.Now().Before(end); calls++ {
-				c, ok := s.next(2 * longestPause)
+				c, ok := s.next(2 * maxBackoff)
 				if !ok {
 					t.Fatal("the platform is not asked any more")
 				}
@@ -327,7 +327,7 @@
 				t.Errorf("%d calls in 10 s", calls)
 			}
 		},
-		"a box that reads no more leaves the platform alone": func(t *testing.T, f *fleet, _ *Keeper, s scripted, first call) {
+		"a box that reads no more leaves the platform alone": func(t *testing.T, f *fleet, _ *Keeper, s scriptedSource, first call) {
 			f.reads["b000"] = false
 			first.reply <- reply{at: 9}
 			if c, ok := s.next(time.Minute); ok {
@@ -338,7 +338,7 @@
 	for name, check := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, k, s := begin(t, true)
+				f, k, s := startKeeper(t, true)
 				list, _ := s.next(time.Second)
 				if !list.list {
 					t.Fatalf("first call: %+v", list)
@@ -356,27 +356,28 @@
 
 func TestStart(t *testing.T) {
 	cases := map[string]struct {
-		// others know the drained zones; reply is the platform's.
+		// others is set if other boxes know the drained zones; reply is the platform's reply.
 		others bool
 		reply  reply
-		// ready says whether the box serves at once, want what it knows then.
+		// ready reports whether the box serves at once, and want lists the drained zones that
+		// it knows then.
 		ready bool
 		want  []string
 	}{
-		"the platform tells":                        {reply: reply{zones: []drain.Zone{zoneA}, at: 9}, ready: true, want: []string{"zone-a"}},
-		"the platform is away, and others tell":     {others: true, reply: reply{err: errBusy}, ready: true, want: []string{"zone-a"}},
+		"the platform answers":                      {reply: reply{zones: []drain.Zone{zoneA}, at: 9}, ready: true, want: []string{"zone-a"}},
+		"the platform is away, and others answer":   {others: true, reply: reply{err: errBusy}, ready: true, want: []string{"zone-a"}},
 		"the platform is away, and nobody knows":    {reply: reply{err: errBusy}},
-		"the platform's word is newer than others'": {others: true, reply: reply{at: 30}, ready: true},
+		"the platform's list is newer than others'": {others: true, reply: reply{at: 30}, ready: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f, k, s := begin(t, false)
+				f, k, s := startKeeper(t, false)
 				if k.Ready() {
 					t.Error("ready before it knows anything")
 				}
 				if c.others {
-					f.read("b001", 8, zoneA)
+					f.readList("b001", 8, zoneA)
 				}
 				list, _ := s.next(time.Second)
 				list.reply <- c.reply
@@ -387,7 +388,7 @@
 				if got := slices.Sorted(maps.Keys(k.Zones().Names())); !slices.Equal(got, c.want) {
 					t.Errorf("knows %v, want %v", got, c.want)
 				}
-				time.Sleep(startPatience)
+				time.Sleep(maxStartWait)
 				if !k.Ready() {
 					t.Error("never ready")
 				}
@@ -396,17 +397,17 @@
 	}
 }
 
-// TestStartFarFromOthers has a box, to which the platform is away, hear the first of the
-// others only after its patience, and its first question to it be lost.
+// TestStartFarFromOthers starts a box that can't reach the platform, receives the first
+// message from another box only after maxStartWait, and loses its first pull.
 func TestStartFarFromOthers(t *testing.T) {
 	cases := map[string]struct {
-		// known says whether the other box knows the drained zones, and wait is for how
-		// long the box is not ready after the first message.
+		// known reports whether the other box knows the drained zones, and wait is how long
+		// the box is not ready after the first message.
 		known bool
 		wait  time.Duration
 	}{
-		"the other knows the drained zones": {known: true, wait: pullPause},
-		"nobody knows them":                 {wait: startPatience},
+		"the other knows the drained zones": {known: true, wait: minPullInterval},
+		"nobody knows them":                 {wait: maxStartWait},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -414,9 +415,9 @@
 				f := newFleet(2, nil)
 				k, other := f.boxes["b000"], f.boxes["b001"]
 				f.cut["b000"] = true
-				time.Sleep(2 * startPatience)
+				time.Sleep(2 * maxStartWait)
 				if c.known {
-					f.read("b001", 8, zoneA)
+					f.readList("b001", 8, zoneA)
 				}
 				k.Heard("b001", other.Zones().Version())
 				f.cut["b000"] = false
--- a/coordination/drain/share.go
+++ b/coordination/drain/share.go
@@ -11,14 +11,14 @@
 	"runridge.example/runridge/state/spread"
 )
 
-// publish sends what this box has read to the others, if it is due: within its region,
-// and to one box of each other region, which passes it on there.
+// publish sends the drained zones to the boxes of this region and to one box of each other
+// region, which forwards them there. It does nothing unless due is set.
 func (k *Keeper) publish(due bool) {
 	if !due {
 		return
 	}
 	u := k.Zones().Update(k.cfg.Self)
-	k.pass(u)
+	k.forward(u)
 	if k.cfg.Heads == nil {
 		return
 	}
@@ -27,57 +27,57 @@
 	}
 }
 
-// treeKey is what the tree of an origin's updates is drawn from.
+// treeKey returns the key from which the tree of an origin's updates is derived.
 func treeKey(origin string) string { return rankKey + "@" + origin }
 
-// pass sends an update to this box's children in its region's tree, whose root is the
-// origin or the box that takes the update in for the region.
-func (k *Keeper) pass(u drain.Update) {
+// forward sends an update to this box's children in its region's tree, whose root is the
+// origin or the box that receives updates on behalf of the region.
+func (k *Keeper) forward(u drain.Update) {
 	for _, box := range spread.Below(spread.Draw(k.cfg.Tree, k.cfg.Ranked, treeKey(u.Origin), u.Origin), k.cfg.Self) {
 		k.cfg.Peers.SendDrained(box, u)
 	}
 }
 
-// Receive takes what another box knows and passes it on. What is an answer to this
-// box's own question goes no further.
+// Receive applies an update from another box and forwards it. The answer to this box's own
+// pull, which has no origin, isn't forwarded.
 func (k *Keeper) Receive(from string, u drain.Update) {
-	// An update without a position is of a box that knows nothing.
+	// An update without a position comes from a box that knows nothing.
 	if u.At == 0 || u.Origin == k.cfg.Self {
 		return
 	}
 	if known := k.Zones(); known.Corrects(u) {
 		k.cfg.Peers.SendDrained(from, known.Update(""))
 	}
-	k.noteReturn(time.Now(), u.At)
+	k.noteRestore(time.Now(), u.At)
 	k.update(from, func(z drain.Zones) drain.Zones { return z.WithUpdate(u) })
-	if u.Origin != "" && k.unseen(u) {
-		k.pass(u)
+	if u.Origin != "" && k.markForwarded(u) {
+		k.forward(u)
 	}
 }
 
-// unseen notes an update and says whether it is the first of its origin at its
-// position. Positions are the platform's and never go back.
-func (k *Keeper) unseen(u drain.Update) bool {
+// markForwarded records an update as forwarded and reports whether it is the first of its
+// origin at its position. Positions come from the platform and never decrease.
+func (k *Keeper) markForwarded(u drain.Update) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if u.At <= k.passed[u.Origin] {
+	if u.At <= k.forwarded[u.Origin] {
 		return false
 	}
-	k.passed[u.Origin] = u.At
+	k.forwarded[u.Origin] = u.At
 	return true
 }
 
-// Heard takes in the version that another box names, and asks it if this box may miss
-// something.
+// Heard records the version that another box names, and pulls from that box if this box
+// may lack something.
 func (k *Keeper) Heard(from string, v drain.Version) {
 	now := time.Now()
 	k.mutex.Lock()
-	if k.heard.IsZero() {
-		k.heard = now
+	if k.firstHeard.IsZero() {
+		k.firstHeard = now
 	}
-	ask := k.zones.Misses(v) && now.Sub(k.pulled) >= pullPause
+	ask := k.zones.Misses(v) && now.Sub(k.lastPull) >= minPullInterval
 	if ask {
-		k.pulled = now
+		k.lastPull = now
 	}
 	k.mutex.Unlock()
 	if ask {
@@ -85,39 +85,40 @@
 	}
 }
 
-// Pull answers a box that has missed an update.
+// Pull answers a box that has missed an update with all drained zones known here. It sends
+// nothing if this box has not learnt them yet.
 func (k *Keeper) Pull(from string) {
 	if known := k.Zones(); known.Known() {
 		k.cfg.Peers.SendDrained(from, known.Update(""))
 	}
 }
 
-// Status is what operators see.
+// Status is the part of the status page about drained zones.
 type Status struct {
-	// Known says whether the drained zones were ever heard.
+	// Known reports whether this box has ever learnt the drained zones.
 	Known bool `json:"known"`
-	// Revision is that of the last change that the box knows of, and Position the
-	// platform's revision at which its list was whole.
+	// Revision is the revision of the last change that this box knows of, and Position the
+	// platform's revision up to which its list is complete.
 	Revision uint64       `json:"revision"`
 	Position uint64       `json:"position"`
 	Drained  []ZoneStatus `json:"drained,omitempty"`
 }
 
-// Has says whether a zone is drained.
+// Has reports whether a zone is drained.
 func (s Status) Has(zone string) bool {
 	return slices.ContainsFunc(s.Drained, func(z ZoneStatus) bool { return z.Zone == zone })
 }
 
-// ZoneStatus is one drained zone.
+// ZoneStatus describes a drained zone.
 type ZoneStatus struct {
 	Zone string `json:"zone"`
-	// Revision is that of the operator's write, Since when it came into force on
+	// Revision is the revision of the operator's write, and Since when it came into force on
 	// this box.
 	Revision uint64    `json:"revision"`
 	Since    time.Time `json:"since"`
 }
 
-// Status says which zones are drained.
+// Status returns the drained zones and the revisions that they are known at.
 func (k *Keeper) Status() Status {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
--- a/coordination/follow/confirm.go
+++ b/coordination/follow/confirm.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// NeverConfirmed is the age of a table that the platform has not confirmed.
+	// NeverConfirmed is the age of a table that the platform has never confirmed as the
+	// newest.
 	NeverConfirmed time.Duration = math.MaxInt64
-	// currentFor is how old a confirmation may be for the table to count as the
-	// newest. Boxes that read the platform confirm it every 1.5 s, and what they
-	// know reaches each of 300 boxes with some nine of four messages a second:
-	// 4 s in all. Beyond it a box may be cut off, and refuse a caller for good
+	// maxConfirmationAge is the age up to which a confirmation lets the table count as the
+	// newest. Boxes that read the platform confirm the table every 1.5 s, and that knowledge
+	// reaches each of 300 boxes with about nine messages at four a second: 4 s in all.
+	// Beyond that age a box may be cut off, and it must not permanently refuse a caller
 	// whose key was just added.
-	currentFor = 6 * time.Second
+	maxConfirmationAge = 6 * time.Second
 )
 
-// confirm notes that the platform had no newer table than the one in force when a
-// call to it began.
-func (f *Follower) confirm(at time.Time) {
+// noteConfirmed records that the platform had no newer table than the one in force when a
+// call to it began at the time at.
+func (f *Follower) noteConfirmed(at time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if at.After(f.confirmed) {
@@ -31,19 +32,20 @@
 	}
 }
 
-// Confirmed takes in how long ago, by another box's word, no newer table than one with a
-// stamp existed. It holds for this box's table too if that is as new.
+// Confirmed records another box's report that the platform had no newer table than the one
+// with this stamp the given time ago. The report applies to this box's table too if that
+// is at least as new.
 func (f *Follower) Confirmed(stamp table.Stamp, age time.Duration) {
 	if age == NeverConfirmed {
 		return
 	}
 	if !stamp.After(f.Table().Stamp()) {
-		f.confirm(time.Now().Add(-age))
+		f.noteConfirmed(time.Now().Add(-age))
 	}
 }
 
-// Age is how long ago the table in force was known to be the newest, as far as
-// this box knows.
+// Age returns how long ago the table in force was last confirmed as the newest, as far as
+// this box knows, or NeverConfirmed.
 func (f *Follower) Age() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -53,11 +55,11 @@
 	return time.Since(f.confirmed)
 }
 
-// Current says whether the table in force can be taken for the newest: no other
-// box has named a newer one, and it was confirmed lately.
+// Current reports whether the table in force can be taken for the newest: no other box has
+// named a newer one, and the last confirmation is recent.
 func (f *Follower) Current() bool {
 	age := f.Age()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return !f.others.After(f.table.Stamp()) && age <= currentFor
+	return !f.newestNamed.After(f.table.Stamp()) && age <= maxConfirmationAge
 }
--- a/coordination/follow/follow.go
+++ b/coordination/follow/follow.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package follow keeps a box on the newest accepted table. It never goes back
-// to an older table, whatever the platform or another box says.
+// Package follow keeps a box on the newest accepted table. It never returns to an older
+// table, whatever the platform or another box offers.
 //
-// Only the first few boxes in rank watch the platform; they pass each change
-// on along a tree of boxes, and a box that missed it notices from the
-// generation that every membership message carries.
+// Only the first few boxes in rank watch the platform; they forward each change along a
+// tree of boxes. A box that missed a change notices it from the generation in every
+// membership message.
 package follow
 
 import (
@@ -20,22 +20,21 @@
 	"runridge.example/runridge/state/table"
 )
 
-// ObjectName is the platform object that holds the table.
+// ObjectName is the name of the platform object that holds the table.
 const ObjectName = "table/current"
 
-// Platform is what following needs of the object API.
+// Platform is the part of the platform's object API that a Follower uses.
 type Platform interface {
 	Get(ctx context.Context, name string, after uint64) (adapter.Object, error)
-	// GetOld reads an object as it may have stood some seconds ago, which costs
-	// the platform less.
+	// GetOld reads an object that may be some seconds stale, which costs the platform less.
 	GetOld(ctx context.Context, name string) (adapter.Object, error)
 }
 
-// Peers passes tables between boxes. Calls must not block.
+// Peers sends tables between boxes. Calls must not block.
 type Peers interface {
 	// SendChange sends a change to some boxes.
 	SendChange(d table.Delta, to ...string)
-	// SendPull asks a box for what came after a table.
+	// SendPull asks a box for the changes after a table.
 	SendPull(to string, have table.Stamp)
 }
 
@@ -44,72 +43,74 @@
 	Self     string
 	Platform Platform
 	Peers    Peers
-	// Ranked lists the boxes with duties of this box's region in an order that all
-	// of them agree on for a key.
+	// Ranked returns the boxes with duties in this box's region, in an order for the key
+	// that all of them agree on.
 	Ranked func(key string) []string
-	// Tree orders them for the tree in which what an origin tells goes round; nil is by
-	// Ranked.
+	// Tree returns the same boxes in the order of the tree along which changes of an origin
+	// are forwarded; nil uses Ranked.
 	Tree func(key, origin string) []string
-	// Wait bounds one watch.
+	// Wait bounds one wait for a newer object; 0 is defaultWait.
 	Wait time.Duration
-	// Reads says whether this box reads the platform itself once it has a table;
-	// nil leaves it to the first few boxes in rank.
+	// Reads reports whether this box reads the platform itself once it has a table; if it is
+	// nil, the first few boxes in rank do.
 	Reads func() bool
-	// Settle bounds how long a starting box waits for the others' word before
-	// it puts its first table into force.
+	// Settle bounds how long a starting box waits for other boxes to name their tables
+	// before it puts its first table into force; 0 is defaultSettle.
 	Settle time.Duration
-	// FirstAtOnce puts the first table read into force without waiting for the others'
-	// word on it.
+	// FirstAtOnce puts the first table read into force without waiting for other boxes to
+	// name theirs.
 	FirstAtOnce bool
 	Log         log.Logger
 }
 
 const (
 	defaultWait = 20 * time.Second
-	// readTimeout bounds a read that does not wait for a change.
-	readTimeout   = 1200 * time.Millisecond
-	defaultSettle = 1500 * time.Millisecond
-	firstPause    = 50 * time.Millisecond
-	longestPause  = 2 * time.Second
-	// watchLook is how often a box looks whether it has become one of them.
-	watchLook = 200 * time.Millisecond
-	// history is how many tables are kept to make changes from.
-	history = 8
-	// pullPause keeps one lag from being asked about with every message, and
-	// pullGrace is how long a box that hears of a newer table waits for it to come
-	// along the tree: 1,360 routes added at once came to each of 295 boxes several
-	// times, and held up the boxes' other messages for a second.
-	pullPause = 500 * time.Millisecond
-	pullGrace = 300 * time.Millisecond
+	// readTimeout bounds a read that doesn't wait for a change.
+	readTimeout    = 1200 * time.Millisecond
+	defaultSettle  = 1500 * time.Millisecond
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// roleCheckInterval is how often a box checks whether it has become one of the boxes
+	// that watch the platform.
+	roleCheckInterval = 200 * time.Millisecond
+	// maxHistory is the number of past tables kept to compute changes from.
+	maxHistory = 8
+	// minPullInterval prevents a pull with every message while this box is behind. pullGrace
+	// is how long a box that learns of a newer table waits for it to arrive along the tree:
+	// 1,360 routes added at once reached each of 295 boxes several times and delayed the
+	// boxes' other messages by a second.
+	minPullInterval = 500 * time.Millisecond
+	pullGrace       = 300 * time.Millisecond
 )
 
-// Follower holds the table in force.
+// Follower holds the table in force and keeps it up to date.
 type Follower struct {
 	cfg   Config
 	mutex sync.Mutex
 	table table.Table
 	since time.Time
-	// past are the tables before, the newest last.
-	past     []table.Table
-	watchers []func(table.Table)
-	heard    time.Time
-	// confirmed is when the platform had no newer table than the one in force, as
-	// far as this box or another has told.
+	// history holds the previous tables, the newest last.
+	history       []table.Table
+	observers     []func(table.Table)
+	platformHeard time.Time
+	// confirmed is the latest time at which the platform is known, from this box's reads or
+	// other boxes' reports, to have had no newer table than the one in force.
 	confirmed time.Time
 	// pending is the newest table offered before the gate opened.
-	pending table.Table
-	open    bool
-	// others is the newest table that another box has named.
-	others table.Stamp
-	// behind is since when this box has known of a newer table than its own.
-	behind   time.Time
-	pulled   time.Time
-	rejected uint64
-	// refresh ends the wait under way; the object is read anew.
+	pending  table.Table
+	gateOpen bool
+	// newestNamed is the stamp of the newest table that another box has named.
+	newestNamed table.Stamp
+	// behindSince is since when this box has known of a newer table than its own; zero means
+	// that it is not behind.
+	behindSince time.Time
+	lastPull    time.Time
+	rejected    uint64
+	// refresh ends the pending wait; the object is read again.
 	refresh *ring.Ring[struct{}]
 }
 
-// New makes a follower; Run starts it.
+// New returns a Follower; Run starts it.
 func New(cfg Config) *Follower {
 	if cfg.Wait <= 0 {
 		cfg.Wait = defaultWait
@@ -120,45 +121,45 @@
 	return &Follower{cfg: cfg, refresh: ring.New[struct{}](1)}
 }
 
-// Refresh has the object read anew at once: the platform has forgotten its
-// history, or was lost, so that a wait under way may never end.
+// Refresh makes the follower read the object again at once. It is called when the platform
+// has dropped its history or was lost, because a pending wait may then never end.
 func (f *Follower) Refresh() {
-	// One that waits already says the same.
+	// A queued refresh serves this call too.
 	_ = f.refresh.Offer(struct{}{})
 }
 
-// OnChange registers a function that gets each table that comes into force.
-// It is called in the order of generations, and must not block.
+// OnChange registers a function that is called with each table that comes into force, in
+// order. It must not block.
 func (f *Follower) OnChange(fn func(table.Table)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.watchers = append(f.watchers, fn)
+	f.observers = append(f.observers, fn)
 }
 
-// Table is the table in force; generation 0 means that there is none yet.
+// Table returns the table in force; generation 0 means that there is none yet.
 func (f *Follower) Table() table.Table {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.table
 }
 
-// Status is what operators are told.
+// Status is the part of the status page about the table.
 type Status struct {
 	Generation uint64
-	// Version is the operator's own number of the table; 0 is none.
+	// Version is the operator's own number of the table; 0 means that it has none.
 	Version uint64
 	// Since is when the table came into force here.
 	Since time.Time
 	// PlatformHeard is when the platform last answered this box.
 	PlatformHeard time.Time
-	// Watching says whether this box is one of those that watch the platform.
+	// Watching reports whether this box is one of those that watch the platform.
 	Watching bool
-	// Rejected is the version of a table object that was not put into force
-	// because it is not valid; 0 is none.
+	// Rejected is the version of the last table object that was not put into force because
+	// it is invalid; 0 means none.
 	Rejected uint64
 }
 
-// Status says where this box stands.
+// Status returns the follower's current status.
 func (f *Follower) Status() Status {
 	watching := f.watching()
 	f.mutex.Lock()
@@ -167,34 +168,35 @@
 		Generation:    f.table.Generation,
 		Version:       f.table.Version,
 		Since:         f.since,
-		PlatformHeard: f.heard,
+		PlatformHeard: f.platformHeard,
 		Watching:      watching,
 		Rejected:      f.rejected,
 	}
 }
 
-// Offer takes a table from the platform or from another box and puts it into
-// force if it is newer. Until the gate is open it only keeps it.
+// Offer puts a table from the platform or from another box into force, and forwards the
+// change, if the table is newer. Until the gate is open it only keeps the newest table
+// offered.
 func (f *Follower) Offer(t table.Table) {
 	f.mutex.Lock()
-	if !f.open {
+	if !f.gateOpen {
 		if t.Stamp().After(f.pending.Stamp()) {
 			f.pending = t
 		}
 		f.mutex.Unlock()
-		f.tryOpen(false)
+		f.tryOpenGate(false)
 		return
 	}
-	change, fresh := f.enforce(t)
+	change, fresh := f.apply(t)
 	f.mutex.Unlock()
 	if fresh {
-		f.pass(change)
+		f.forward(change)
 	}
 }
 
-// noteOlder writes that a table was offered which is older than the one in force. The mutex
-// is held.
-func (f *Follower) noteOlder(t table.Table) {
+// logOlder logs that an offered table is older than the one in force. The caller holds the
+// mutex.
+func (f *Follower) logOlder(t table.Table) {
 	if t.Stamp() == f.table.Stamp() {
 		return
 	}
@@ -204,23 +206,23 @@
 	}).Info("table_older")
 }
 
-// enforce puts a newer table into force and returns the change. The mutex is
-// held.
-func (f *Follower) enforce(t table.Table) (table.Delta, bool) {
+// apply puts a table into force if it is newer, and returns the change and whether it did.
+// The caller holds the mutex.
+func (f *Follower) apply(t table.Table) (table.Delta, bool) {
 	if !t.Stamp().After(f.table.Stamp()) {
-		f.noteOlder(t)
+		f.logOlder(t)
 		return table.Delta{}, false
 	}
 	change := table.WholeDelta(t)
 	if f.table.Generation > 0 {
 		change = table.Diff(f.table, t)
-		f.past = append(f.past, f.table)
-		f.past = f.past[max(len(f.past)-history, 0):]
+		f.history = append(f.history, f.table)
+		f.history = f.history[max(len(f.history)-maxHistory, 0):]
 	}
 	f.table = t
 	f.since = time.Now()
 	f.cfg.Log.WithFields(log.Fields{log.FieldGeneration: t.Generation, "version": t.Version}).Info("table_in_force")
-	for _, fn := range f.watchers {
+	for _, fn := range f.observers {
 		fn(t)
 	}
 	return change, true
--- a/coordination/follow/follow_test.go
+++ b/coordination/follow/follow_test.go
@@ -18,10 +18,10 @@
 	"runridge.example/runridge/state/table"
 )
 
-// call is one read of the object.
+// call is a read of the object.
 type call struct {
 	after uint64
-	// bound is how long the read may take.
+	// bound is the time left until the read's deadline.
 	bound time.Duration
 	ctx   context.Context
 	reply chan reply
@@ -32,10 +32,10 @@
 	err    error
 }
 
-// scripted hands each read to the test, which answers it.
-type scripted struct{ calls chan call }
+// scriptedPlatform passes each read to the test, which answers it.
+type scriptedPlatform struct{ calls chan call }
 
-func (s scripted) Get(ctx context.Context, _ string, after uint64) (adapter.Object, error) {
+func (s scriptedPlatform) Get(ctx context.Context, _ string, after uint64) (adapter.Object, error) {
 	deadline, _ := ctx.Deadline()
 	c := call{after: after, bound: time.Until(deadline), ctx: ctx, reply: make(chan reply, 1)}
 	select {
@@ -51,11 +51,11 @@
 	}
 }
 
-func (s scripted) GetOld(ctx context.Context, name string) (adapter.Object, error) {
+func (s scriptedPlatform) GetOld(ctx context.Context, name string) (adapter.Object, error) {
 	return s.Get(ctx, name, 0)
 }
 
-// silentPeers are other boxes that say nothing.
+// silentPeers drops all messages to other boxes.
 type silentPeers struct{}
 
 func (silentPeers) SendChange(table.Delta, ...string) {}
@@ -70,16 +70,16 @@
 	return adapter.Object{Version: generation, Value: value}
 }
 
-// begin runs a follower whose reads the test answers.
-func begin(t *testing.T) (*Follower, scripted) {
+// startFollower runs a follower whose reads the test answers.
+func startFollower(t *testing.T) (*Follower, scriptedPlatform) {
 	t.Helper()
-	return beginWith(t, Config{Settle: time.Nanosecond})
+	return startFollowerWith(t, Config{Settle: time.Nanosecond})
 }
 
-// beginWith runs a follower with its own times.
-func beginWith(t *testing.T, cfg Config) (*Follower, scripted) {
+// startFollowerWith is like startFollower with the given configuration.
+func startFollowerWith(t *testing.T, cfg Config) (*Follower, scriptedPlatform) {
 	t.Helper()
-	platform := scripted{calls: make(chan call)}
+	platform := scriptedPlatform{calls: make(chan call)}
 	cfg.Self, cfg.Platform, cfg.Peers = "box-1", platform, silentPeers{}
 	cfg.Reads = func() bool { return true }
 	cfg.Ranked = func(string) []string { return []string{"box-1"} }
@@ -99,8 +99,8 @@
 }
 
 func TestReads(t *testing.T) {
-	convey.Convey("A read that waits for nothing is bounded, so that a silent platform costs little", t, func() {
-		_, platform := begin(t)
+	convey.Convey("A read that doesn't wait for a change has a short timeout, so that a silent platform costs little", t, func() {
+		_, platform := startFollower(t)
 		first := <-platform.calls
 		convey.So(first.after, convey.ShouldEqual, 0)
 		convey.So(first.bound, convey.ShouldBeLessThanOrEqualTo, readTimeout)
@@ -109,8 +109,8 @@
 		convey.So(wait.after, convey.ShouldEqual, 5)
 		convey.So(wait.bound, convey.ShouldBeGreaterThan, readTimeout)
 	})
-	convey.Convey("A forgotten history has the object read anew, and nothing goes back", t, func() {
-		f, platform := begin(t)
+	convey.Convey("After a dropped history the object is read again, and no older table is taken", t, func() {
+		f, platform := startFollower(t)
 		(<-platform.calls).reply <- reply{object: object(t, 5)}
 		(<-platform.calls).reply <- reply{err: adapter.ErrHistoryGone}
 		again := <-platform.calls
@@ -119,12 +119,12 @@
 		<-platform.calls
 		convey.So(f.Table().Generation, convey.ShouldEqual, 5)
 	})
-	convey.Convey("A refresh ends a wait that may never end by itself", t, func() {
-		f, platform := begin(t)
+	convey.Convey("A refresh ends a wait that may never end by itself and reads the object again", t, func() {
+		f, platform := startFollower(t)
 		(<-platform.calls).reply <- reply{object: object(t, 5)}
-		deaf := <-platform.calls
+		stuck := <-platform.calls
 		f.Refresh()
-		<-deaf.ctx.Done()
+		<-stuck.ctx.Done()
 		again := <-platform.calls
 		convey.So(again.after, convey.ShouldEqual, 0)
 		again.reply <- reply{object: object(t, 9)}
@@ -132,14 +132,14 @@
 		convey.So(f.Table().Generation, convey.ShouldEqual, 9)
 	})
 	convey.Convey("A watch goes on from the platform's position, not from the object's", t, func() {
-		_, platform := begin(t)
+		_, platform := startFollower(t)
 		o := object(t, 5)
 		o.At = 8
 		(<-platform.calls).reply <- reply{object: o}
 		convey.So((<-platform.calls).after, convey.ShouldEqual, 8)
 	})
 	convey.Convey("A follower never takes an older generation from another box", t, func() {
-		f, platform := begin(t)
+		f, platform := startFollower(t)
 		(<-platform.calls).reply <- reply{object: object(t, 5)}
 		<-platform.calls
 		f.Offer(table.Table{Generation: 5, Zones: []table.Zone{{Name: "again"}}})
@@ -154,13 +154,13 @@
 		fresh bool
 		want  uint64
 	}{
-		"reads that are never stale need no other box's word": {fresh: true, want: 5},
-		"a read that may be stale waits for it":               {fresh: false, want: 0},
+		"reads that are never stale need no report from another box": {fresh: true, want: 5},
+		"a read that may be stale waits for it":                      {fresh: false, want: 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			convey.Convey("When all boxes start at once, nobody has a word on the table", t, func() {
-				f, platform := beginWith(t, Config{Settle: time.Hour, FirstAtOnce: c.fresh})
+			convey.Convey("When all boxes start at once, no box names a table", t, func() {
+				f, platform := startFollowerWith(t, Config{Settle: time.Hour, FirstAtOnce: c.fresh})
 				(<-platform.calls).reply <- reply{object: object(t, 5)}
 				<-platform.calls
 				convey.So(f.Table().Generation, convey.ShouldEqual, c.want)
@@ -169,8 +169,9 @@
 	}
 }
 
-// TestTablesOfAnOlderStore has a box with version 16, of generation 28, be offered another table
-// by the store or by another box.
+// TestTablesOfAnOlderStore offers a box that holds version 16, of generation 28, another
+// table from the store or from another box. A store restored from an older copy may give a
+// later version a lower generation.
 func TestTablesOfAnOlderStore(t *testing.T) {
 	route := func(n int) []table.Route { return []table.Route{{Name: fmt.Sprintf("r%d", n)}} }
 	known := table.Table{Version: 16, Generation: 28, Routes: route(16)}
@@ -189,13 +190,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			ways := map[string]func(f *Follower){
-				"by the store":                func(f *Follower) { f.Offer(c.offered) },
-				"by another box":              func(f *Follower) { f.Receive("box-2", table.WholeDelta(c.offered)) },
-				"by another box, as a change": func(f *Follower) { f.Receive("box-2", table.Diff(known, c.offered)) },
+				"from the store":                func(f *Follower) { f.Offer(c.offered) },
+				"from another box":              func(f *Follower) { f.Receive("box-2", table.WholeDelta(c.offered)) },
+				"from another box, as a change": func(f *Follower) { f.Receive("box-2", table.Diff(known, c.offered)) },
 			}
 			for way, offer := range ways {
 				f := New(Config{Self: "box-1", Peers: silentPeers{}, Ranked: func(string) []string { return nil }, Log: log.Discard()})
-				f.open = true
+				f.gateOpen = true
 				f.Offer(known)
 				offer(f)
 				want := known
@@ -210,21 +211,21 @@
 	}
 }
 
-// pulls counts the questions that a box asks.
-type pulls struct {
+// pullCounter counts the pulls that a box sends.
+type pullCounter struct {
 	silentPeers
 	asked *int
 }
 
-func (p pulls) SendPull(string, table.Stamp) { *p.asked++ }
+func (p pullCounter) SendPull(string, table.Stamp) { *p.asked++ }
 
 func TestNewerTablesAreAskedFor(t *testing.T) {
 	cases := map[string]struct {
 		have uint64
-		// starts is a box that has put no table into force yet.
+		// starts is set for a box that has put no table into force yet.
 		starts bool
-		// heard is the generation that others name each 100 ms, comes whether it
-		// comes along the tree after 200 ms.
+		// heard is the generation that others name every 100 ms; comes reports whether that
+		// table arrives along the tree after 200 ms.
 		heard uint64
 		comes bool
 		want  int
@@ -239,8 +240,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				asked := 0
-				f := New(Config{Self: "box-1", Peers: pulls{asked: &asked}, Ranked: func(string) []string { return nil }, Log: log.Discard()})
-				f.open = !c.starts
+				f := New(Config{Self: "box-1", Peers: pullCounter{asked: &asked}, Ranked: func(string) []string { return nil }, Log: log.Discard()})
+				f.gateOpen = !c.starts
 				f.Offer(table.Table{Generation: c.have})
 				f.Heard("box-2", table.Stamp{Generation: c.heard})
 				if c.starts != (asked == 1) {
--- a/coordination/follow/pass.go
+++ b/coordination/follow/pass.go
@@ -12,12 +12,12 @@
 	"runridge.example/runridge/state/table"
 )
 
-// pass sends a change on to this box's children in its region's tree. Each region
-// follows the platform by itself; one that has lost it hears of a newer generation
-// from the other's boxes and asks. The tree is drawn
-// anew for each generation, so that no box carries all changes, and its root
-// gets the change from whoever watches the platform.
-func (f *Follower) pass(change table.Delta) {
+// forward sends a change to this box's children in its region's tree. Each region follows
+// the platform by itself; a region that has lost the platform learns of a newer generation
+// from the boxes of another region and pulls it. The tree is derived anew for each
+// generation, so that no box forwards all changes, and its root gets the change from the
+// boxes that watch the platform.
+func (f *Follower) forward(change table.Delta) {
 	order := spread.Draw(f.cfg.Tree, f.cfg.Ranked, fmt.Sprintf("table@%d", change.Generation), "")
 	at := slices.Index(order, f.cfg.Self)
 	if at < 0 {
@@ -33,11 +33,12 @@
 	}
 }
 
-// Receive takes a change from another box.
+// Receive applies a change from another box, or pulls from that box what is missing if the
+// change doesn't fit the table here.
 func (f *Follower) Receive(from string, d table.Delta) {
 	f.mutex.Lock()
 	current := f.table
-	if !f.open {
+	if !f.gateOpen {
 		current = f.pending
 	}
 	f.mutex.Unlock()
@@ -52,11 +53,12 @@
 	f.Offer(next)
 }
 
-// Pull answers a box that has an older table.
+// Pull answers a box that has an older table, with a change if its table is still kept
+// here and with the whole table otherwise.
 func (f *Follower) Pull(from string, have table.Stamp) {
 	f.mutex.Lock()
 	current, change := f.table, table.WholeDelta(f.table)
-	for _, old := range f.past {
+	for _, old := range f.history {
 		if old.Stamp() == have {
 			change = table.Diff(old, current)
 		}
@@ -67,46 +69,47 @@
 	}
 }
 
-// Heard takes in which table another box has in force, and asks for it if it is newer.
+// Heard records which table another box has in force, and pulls that table if it is newer
+// and hasn't arrived along the tree within pullGrace.
 func (f *Follower) Heard(from string, stamp table.Stamp) {
 	f.mutex.Lock()
-	f.others = f.others.Latest(stamp)
+	f.newestNamed = f.newestNamed.Latest(stamp)
 	have := f.table.Stamp().Latest(f.pending.Stamp())
 	now := time.Now()
 	switch {
-	case !f.others.After(have):
-		f.behind = time.Time{}
-	case f.behind.IsZero():
-		f.behind = now
+	case !f.newestNamed.After(have):
+		f.behindSince = time.Time{}
+	case f.behindSince.IsZero():
+		f.behindSince = now
 	}
-	// One that starts has put nothing into force yet and asks at once.
-	waited := !f.open || now.Sub(f.behind) >= pullGrace
-	ask := stamp.After(have) && waited && now.Sub(f.pulled) >= pullPause
+	// A starting box has put nothing into force yet and pulls at once.
+	waited := !f.gateOpen || now.Sub(f.behindSince) >= pullGrace
+	ask := stamp.After(have) && waited && now.Sub(f.lastPull) >= minPullInterval
 	if ask {
-		f.pulled = now
+		f.lastPull = now
 	}
 	f.mutex.Unlock()
 	if ask {
 		f.cfg.Peers.SendPull(from, have)
 	}
-	f.tryOpen(false)
+	f.tryOpenGate(false)
 }
 
-// tryOpen opens the gate once this box has a table that is as new as any that
-// another box has named, or when it has waited long enough. So a box that
-// starts from a stale read does not put an older table into force than the
-// box that it replaces had.
-func (f *Follower) tryOpen(late bool) {
+// tryOpenGate opens the gate, and puts the pending table into force, once that table is as
+// new as any that another box has named, or when late says that the wait is over. So a box
+// that starts from a stale read doesn't put an older table into force than the box that it
+// replaces had.
+func (f *Follower) tryOpenGate(late bool) {
 	f.mutex.Lock()
-	ready := f.pending.Generation > 0 && f.others.Generation > 0 && !f.others.After(f.pending.Stamp())
-	if f.open || !ready && !late || f.pending.Generation == 0 {
+	ready := f.pending.Generation > 0 && f.newestNamed.Generation > 0 && !f.newestNamed.After(f.pending.Stamp())
+	if f.gateOpen || !ready && !late || f.pending.Generation == 0 {
 		f.mutex.Unlock()
 		return
 	}
-	f.open = true
-	change, fresh := f.enforce(f.pending)
+	f.gateOpen = true
+	change, fresh := f.apply(f.pending)
 	f.mutex.Unlock()
 	if fresh {
-		f.pass(change)
+		f.forward(change)
 	}
 }
--- a/coordination/follow/read.go
+++ b/coordination/follow/read.go
@@ -20,8 +20,8 @@
 	"runridge.example/runridge/state/table"
 )
 
-// watching says whether this box is one of those that watch the platform. One
-// that has no table yet always is.
+// watching reports whether this box is one of those that watch the platform. A box that
+// has no table yet always is.
 func (f *Follower) watching() bool {
 	f.mutex.Lock()
 	none := f.table.Generation == 0
@@ -38,32 +38,33 @@
 
 // Run watches the platform's object until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
-	settle := time.AfterFunc(f.cfg.Settle, func() { f.tryOpen(true) })
+	settle := time.AfterFunc(f.cfg.Settle, func() { f.tryOpenGate(true) })
 	defer settle.Stop()
-	begun := time.Now()
+	start := time.Now()
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = firstPause
-	pauses.MaxInterval = longestPause
+	pauses.InitialInterval = initialBackoff
+	pauses.MaxInterval = maxBackoff
 	version := uint64(0)
 	for ctx.Err() == nil {
 		if !f.watching() {
-			// What happened meanwhile came from others; the object is read anew.
+			// Changes arrived from other boxes meanwhile; the object is read again.
 			version = 0
-			sleep.For(ctx, watchLook)
+			sleep.For(ctx, roleCheckInterval)
 			continue
 		}
-		next, err := f.once(ctx, version)
+		next, err := f.readOnce(ctx, version)
 		if errors.Is(err, adapter.ErrHistoryGone) || errors.Is(err, errRefresh) {
 			version = 0
 			sleep.For(ctx, pauses.NextBackOff())
 			continue
 		}
-		if time.Since(begun) > f.cfg.Settle {
-			f.tryOpen(true)
+		if time.Since(start) > f.cfg.Settle {
+			f.tryOpenGate(true)
 		}
 		if err == nil {
 			if version > 0 {
-				// The object alone does not show that it can be watched.
+				// Reading the object doesn't prove that it can be watched, so only a finished
+				// watch resets the backoff.
 				pauses.Reset()
 			}
 			version = next
@@ -78,10 +79,11 @@
 	return nil
 }
 
-// errRefresh ends a wait because the object has to be read anew.
+// errRefresh is returned for a wait that a refresh ended, so that the object is read
+// again.
 var errRefresh = errors.New("the object is read anew")
 
-// endOnRefresh ends a wait when a refresh is asked for.
+// endOnRefresh cancels a wait when a refresh is requested.
 func (f *Follower) endOnRefresh(call context.Context, end context.CancelFunc) {
 	select {
 	case <-call.Done():
@@ -90,19 +92,20 @@
 	}
 }
 
-// once reads or watches the object once and returns the version to go on from.
-func (f *Follower) once(ctx context.Context, version uint64) (uint64, error) {
+// readOnce reads the object, or waits for a newer one if version is above 0, and returns
+// the version to continue from.
+func (f *Follower) readOnce(ctx context.Context, version uint64) (uint64, error) {
 	bound := f.cfg.Wait
 	if version == 0 {
 		bound = min(bound, readTimeout)
 	}
 	call, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	if version > 0 {
 		go f.endOnRefresh(call, cancel)
 	}
-	o, err := f.get(call, version)
+	o, err := f.readObject(call, version)
 	if errors.Is(call.Err(), context.Canceled) && ctx.Err() == nil {
 		return version, errRefresh
 	}
@@ -110,11 +113,11 @@
 		return version, err
 	}
 	f.mutex.Lock()
-	f.heard = time.Now()
+	f.platformHeard = time.Now()
 	f.mutex.Unlock()
 	next := max(o.Version, o.At)
 	if len(o.Value) == 0 {
-		f.confirm(begun)
+		f.noteConfirmed(start)
 		return max(version, next), nil
 	}
 	t, err := Decode(o)
@@ -124,41 +127,41 @@
 		}
 	}
 	if err != nil {
-		// Whoever wrote it went past the check; the last good table stays.
+		// The writer bypassed the check; the last valid table stays in force.
 		f.cfg.Log.WithFields(log.Fields{log.FieldGeneration: o.Version}).WithError(err).Error("table_rejected")
 		f.mutex.Lock()
 		f.rejected = o.Version
 		f.mutex.Unlock()
 		return next, nil
 	}
-	old := f.mayBeOld(version)
+	old := f.mayBeStale(version)
 	f.Offer(t)
 	if !old {
-		f.confirm(begun)
+		f.noteConfirmed(start)
 	}
 	if f.cfg.FirstAtOnce && version == 0 {
-		f.tryOpen(true)
+		f.tryOpenGate(true)
 	}
 	return next, nil
 }
 
-// mayBeOld says whether the object is read as it may have stood some time ago.
-func (f *Follower) mayBeOld(version uint64) bool {
+// mayBeStale reports whether the object is read as it may have been some seconds ago.
+func (f *Follower) mayBeStale(version uint64) bool {
 	return version == 0 && f.cfg.FirstAtOnce && f.Table().Generation == 0
 }
 
-// get reads the object, or waits for a newer version. A box without a table
-// takes one that may be old: a newer generation is asked for as soon as another
-// box names it, and a box that reads the platform itself goes on from there.
-func (f *Follower) get(ctx context.Context, version uint64) (adapter.Object, error) {
-	if f.mayBeOld(version) {
+// readObject reads the object, or waits for a newer version. A box without a table accepts
+// a stale one: it pulls a newer generation as soon as another box names it, and a box that
+// reads the platform itself continues from the stale version.
+func (f *Follower) readObject(ctx context.Context, version uint64) (adapter.Object, error) {
+	if f.mayBeStale(version) {
 		return f.cfg.Platform.GetOld(ctx, ObjectName)
 	}
 	return f.cfg.Platform.Get(ctx, ObjectName, version)
 }
 
-// Decode reads the table from its object. The object's version is the table's
-// generation: the platform makes it grow with each accepted write.
+// Decode reads the table from its object. The object's version is the table's generation:
+// the platform increases it with each accepted write.
 func Decode(o adapter.Object) (table.Table, error) {
 	var t table.Table
 	if err := json.Unmarshal(o.Value, &t); err != nil {
--- a/tests/mutants/routed.go
+++ b/tests/mutants/routed.go
@@ -100,7 +100,7 @@
 	},
 	{
 		name: "older_table_taken", file: followFile, pkg: "./coordination/follow", args: only("TestReads"),
-		old: "if !t.Stamp().After(f.table.Stamp()) {\n		f.noteOlder(t)", fault: "if t.Stamp() == f.table.Stamp() {\n		f.noteOlder(t)",
+		old: "if !t.Stamp().After(f.table.Stamp()) {\n		f.logOlder(t)", fault: "if t.Stamp() == f.table.Stamp() {\n		f.logOlder(t)",
 	},
 	{
 		name: "read_without_bound", file: readTableFile, pkg: "./coordination/follow", args: only("TestReads"),
--- a/tests/mutants/shared.go
+++ b/tests/mutants/shared.go
@@ -89,7 +89,7 @@
 	},
 	{
 		name: "newer_table_asked_for_at_once", file: passTableFile, pkg: "./coordination/follow", args: only("TestNewerTablesAreAskedFor"),
-		old: "waited := !f.open || now.Sub(f.behind) >= pullGrace", fault: "waited := !f.open || now.Sub(f.behind) >= 0*pullGrace",
+		old: "waited := !f.gateOpen || now.Sub(f.behindSince) >= pullGrace", fault: "waited := !f.gateOpen || now.Sub(f.behindSince) >= 0*pullGrace",
 	},
 	{
 		name: "prefill_without_slot", file: queueFile, pkg: scheduleTests, args: only("TestNoPrefillWithoutSlot"),
@@ -122,11 +122,11 @@
 	},
 	{
 		name: "grace_without_outage", file: outageFile, pkg: discoverTests, args: only("TestEntriesMayLapseInAnOutage"),
-		old: "over := d.outage.failed && away >= leastOutage", fault: "over := away >= leastOutage",
+		old: "over := d.outage.failed && away >= minOutage", fault: "over := away >= minOutage",
 	},
 	{
 		name: "lost_platform_covers", file: shareFile, pkg: discoverTests, args: only("TestUpdatesThatCoverNobody"),
-		old: "covers := n.At >= d.known.At() && !n.Lost", fault: "covers := n.At >= d.known.At()",
+		old: "covers := u.At >= d.known.At() && !u.Lost", fault: "covers := u.At >= d.known.At()",
 	},
 	{
 		name: "every_box_tells", file: shareFile, pkg: discoverTests, args: only("TestUpdatesReachEveryBoxOnce"),
