--- a/coordination/adapter/adapter.go
+++ b/coordination/adapter/adapter.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package adapter is what the router asks of an engine and of the platform,
-// whatever protocol they speak. Everything that is particular to one kind of
-// engine stays behind Engine.
+// Package adapter defines the calls that the router makes to engines and to the platform,
+// independent of the protocols that they use. Everything particular to one kind of engine
+// is hidden behind Engine.
 package adapter
 
 import (
@@ -16,48 +16,49 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Prompt is what an engine computes a prefill from.
+// Prompt is the input from which an engine computes a prefill.
 type Prompt struct {
 	Text string
 	// Emitted is the part of the answer that the caller already has.
 	Emitted string
-	// Marks and MarkBytes name the prompt's prefixes in cache events.
+	// Marks and MarkBytes identify the prompt's prefixes in cache events.
 	Marks     []uint64
 	MarkBytes []int
 	Priority  int
 }
 
-// Prefilled is the outcome of a prefill.
+// Prefilled is the result of a prefill.
 type Prefilled struct {
 	Tokens int
-	// Computed is the part that was not found in the engine's cache.
+	// Computed is the number of tokens that were not found in the engine's cache.
 	Computed int
-	// WorkedUS is the engine's own time for it, in microseconds.
+	// WorkedUS is the time in microseconds that the engine reports for the computation.
 	WorkedUS int64
-	// ExpiresMS is how long the result is kept.
+	// ExpiresMS is how long the engine keeps the result, in milliseconds.
 	ExpiresMS int64
 }
 
-// Import says what to fetch.
+// Import identifies the prefill result to fetch.
 type Import struct {
-	// Source is the attempt that the result was computed under.
+	// Source is the attempt that computed the result.
 	Source lifecycle.AttemptID
-	// OutputTokens is the memory to keep for the answer.
+	// OutputTokens is the number of tokens of memory to reserve for the answer.
 	OutputTokens int
 }
 
-// Decode asks for an answer from token Emitted on.
+// Decode requests an answer from token Emitted on.
 type Decode struct {
 	Emitted int
-	// Text is what was emitted so far.
+	// Text is the text emitted so far.
 	Text         string
 	OutputTokens int
 	Priority     int
-	// Recompute carries the prompt when the engine computes the prefill.
+	// Recompute is the prompt if the engine has to compute the prefill itself, and nil
+	// otherwise.
 	Recompute *Prompt
 }
 
-// Token is one token of an answer. Attempt is what the engine echoed.
+// Token is one token of an answer. Attempt is the attempt ID as the engine echoed it.
 type Token struct {
 	Attempt string
 	Index   int
@@ -65,75 +66,77 @@
 	Last    bool
 }
 
-// Hold is something that an engine keeps.
+// Hold is engine memory kept for an attempt.
 type Hold struct {
 	Attempt string
 	AgeMS   int64
 }
 
-// Load is an engine's late report.
+// Load is an engine's load report, which lags behind its state.
 type Load struct {
 	Held     int
 	KVTokens int
 }
 
-// Events is a page of cache events.
+// Events is a page of cache events. Next is the position to continue from, and Gap is set
+// if events were lost.
 type Events struct {
 	Next    uint64
 	Gap     bool
 	Evicted []uint64
 }
 
-// Order is a fenced order.
+// Order is an order with a fencing number.
 type Order struct {
 	Fence uint64
 	Kind  string
 	Value string
 }
 
-// Engine is the narrow surface of an engine. Calls end with their context;
-// errors say through Ran what they prove.
+// Engine makes calls to an engine. A call ends with its context; RanOf returns what its
+// error proves about the order.
 type Engine interface {
-	// Prefill computes a prompt and keeps the result. Once forbids the
-	// transport to send the order a second time by itself.
+	// Prefill computes a prompt and keeps the result. With once the transport must not
+	// repeat the order by itself.
 	Prefill(ctx context.Context, e table.Endpoint, attempt lifecycle.AttemptID, p Prompt, once bool) (Prefilled, error)
-	// Import makes an engine fetch a result from another.
+	// Import makes an engine fetch a prefill result from another one.
 	Import(ctx context.Context, to, from table.Endpoint, attempt lifecycle.AttemptID, i Import) error
-	// Decode streams the tokens to each until the last or an error. Each
-	// returns false to stop.
+	// Decode calls each for every token until the last one or an error. It stops when each
+	// returns false.
 	Decode(ctx context.Context, e table.Endpoint, attempt lifecycle.AttemptID, d Decode, once bool, each func(Token) bool) error
-	// Release frees what is kept for an attempt and bars its later orders.
+	// Release frees what an engine keeps for an attempt and makes it reject later orders of
+	// that attempt.
 	Release(ctx context.Context, e table.Endpoint, attempt string) error
-	// Holds lists what is kept.
+	// Holds returns what an engine keeps.
 	Holds(ctx context.Context, e table.Endpoint) ([]Hold, error)
 	// Load reads the load report.
 	Load(ctx context.Context, e table.Endpoint) (Load, error)
-	// Events reads cache events from a position on.
+	// Events reads the cache events after a position.
 	Events(ctx context.Context, e table.Endpoint, after uint64) (Events, error)
-	// Order gives a fenced order.
+	// Order sends a fenced order.
 	Order(ctx context.Context, e table.Endpoint, o Order) error
 }
 
-// Namespace holds the errors of calls to engines.
+// namespace groups the errors of calls to engines.
 var namespace = errorx.NewNamespace("engine")
 
-// Types of failed calls: each says what the failure proves about the order.
+// Types of failed calls. Each states what the failure proves about the order.
 var (
-	// ErrNotRun is for orders that were proved not to have run.
+	// ErrNotRun means that the order provably didn't run.
 	ErrNotRun = errorx.NewType(namespace, "not_run")
-	// ErrMayHaveRun is for orders whose fate is not known.
+	// ErrMayHaveRun means that it isn't known whether the order ran.
 	ErrMayHaveRun = errorx.NewType(namespace, "may_have_run")
-	// ErrDidRun is for orders that the engine had taken.
+	// ErrDidRun means that the engine had accepted the order.
 	ErrDidRun = errorx.NewType(namespace, "did_run")
-	// ErrFinal is for orders whose answer had begun to reach the caller, so
-	// that no other attempt can take its place.
+	// ErrFinal means that the answer had begun to reach the caller, so that no other attempt
+	// can replace it.
 	ErrFinal = ErrDidRun.NewSubtype("final")
-	// ErrGone is for orders that did not run because the engine does not keep
-	// what they build on.
+	// ErrGone means that the order didn't run because the engine no longer keeps what the
+	// order depends on.
 	ErrGone = ErrNotRun.NewSubtype("gone")
 )
 
-// RanOf says what an error proves; without a proof the order may have run.
+// RanOf returns what an error proves; without proof the order may have run.
 func RanOf(err error) lifecycle.Ran {
 	switch {
 	case errorx.IsOfType(err, ErrNotRun):
@@ -147,41 +150,42 @@
 
 // Object is a value in the platform's object API.
 type Object struct {
-	// Version is 0 when there is no such object.
+	// Version is 0 if the object doesn't exist.
 	Version uint64
-	// At is the position to wait from next; 0 is the version.
+	// At is the position from which to wait next; 0 stands for Version.
 	At    uint64
 	Value []byte
 }
 
-// Box is one entry of the platform's lagging list.
+// Box is an entry of the platform's list of boxes, which lags behind their writes.
 type Box struct {
 	Name    string
 	Address string
 	Zone    string
 	Leaving bool
-	// Wire is the version of messages that the box reads; 0 is not told.
+	// Wire is the version of messages that the box reads; 0 means unknown.
 	Wire uint16
-	// Version is that of the entry; it changes with each write.
+	// Version is the version of the entry; it changes with each write.
 	Version uint64
 }
 
-// ErrHistoryGone is returned for a wait from a position that the platform has
-// forgotten: what is there now has to be read anew.
-var ErrHistoryGone = errors.New("the platform has forgotten that position")
+// ErrHistoryGone is returned for a wait from a position that is no longer in the
+// platform's history: the current state has to be read again.
+var ErrHistoryGone = errors.New("position is no longer in the platform's history")
 
-// ErrNotFound is returned for an object that is not there.
-var ErrNotFound = errors.New("there is no such object")
+// ErrNotFound is returned if an object doesn't exist.
+var ErrNotFound = errors.New("object does not exist")
 
-// ErrConflict is returned when a conditional write met another version.
+// ErrConflict is returned if a conditional write finds another version.
 var ErrConflict = errors.New("object has another version")
 
 // Platform is the platform's object API.
 type Platform interface {
-	// Get reads an object. With after above 0 it waits up to the context's
-	// end for a version above it.
+	// Get reads an object. If after is above 0 it waits until the context ends for a version
+	// above it.
 	Get(ctx context.Context, name string, after uint64) (Object, error)
-	// Put writes an object if its version is still the given one; 0 creates.
+	// Put writes an object if its version is still the given one, and returns the new
+	// version; version 0 creates the object.
 	Put(ctx context.Context, name string, version uint64, value []byte) (uint64, error)
 	// Boxes reads the list of boxes.
 	Boxes(ctx context.Context) ([]Box, error)
--- a/coordination/adapter/broken.go
+++ b/coordination/adapter/broken.go
@@ -13,38 +13,41 @@
 	"github.com/joomcode/errorx"
 )
 
-// Break is how an exchange with an endpoint broke off.
+// Break is the way in which an exchange with an endpoint was interrupted.
 type Break string
 
-// The breaks.
+// The kinds of interruption.
 const (
-	// BreakNone is an exchange that did not break off.
+	// BreakNone means that the exchange was not interrupted.
 	BreakNone Break = ""
-	// BreakRefused: nothing listens at the endpoint's address.
+	// BreakRefused means that nothing listens at the endpoint's address.
 	BreakRefused Break = "refused"
-	// BreakReset: the endpoint's machine ended the connection.
+	// BreakReset means that the endpoint's machine reset the connection.
 	BreakReset Break = "reset"
-	// BreakClosed: the endpoint ended the connection before its answer was whole.
+	// BreakClosed means that the endpoint closed the connection before its answer was
+	// complete.
 	BreakClosed Break = "closed"
-	// BreakStale: the connection had ended before the request can have arrived.
+	// BreakStale means that the connection had already ended before the request could have
+	// arrived.
 	BreakStale Break = "stale"
-	// BreakSilent: nothing came from the endpoint's machine in time.
+	// BreakSilent means that nothing came from the endpoint's machine in time.
 	BreakSilent Break = "silent"
-	// BreakOwn: this box ended it, as the caller had gone or the request's time was up.
+	// BreakOwn means that this box ended the exchange, because the caller disconnected or
+	// the request's deadline had passed.
 	BreakOwn Break = "own"
-	// BreakOther is anything else, as bytes that are no answer.
+	// BreakOther is anything else, such as bytes that aren't a valid answer.
 	BreakOther Break = "other"
 )
 
-// Cut says whether an exchange broke off on the endpoint's side, or on the way there: the
-// endpoint may have ended.
+// Cut reports whether an exchange was interrupted by the endpoint or the network, so that
+// the endpoint may have ended.
 func (b Break) Cut() bool { return b == BreakReset || b == BreakClosed || b == BreakSilent }
 
-// ErrStale is for exchanges on a connection that broke off sooner than the endpoint can
+// ErrStale marks an exchange on a connection that ended sooner than the endpoint could
 // have answered.
-var ErrStale = errors.New("the connection had ended before")
+var ErrStale = errors.New("connection had already ended")
 
-// breaks are the errors by which a break is known, the first that fits.
+// breaks maps errors to kinds of interruption; the first match counts.
 var breaks = []struct {
 	err  error
 	kind Break
@@ -61,7 +64,7 @@
 	{io.ErrUnexpectedEOF, BreakClosed},
 }
 
-// BreakOf tells how an exchange broke off by its error.
+// BreakOf returns how an exchange was interrupted, judging by its error.
 func BreakOf(err error) Break {
 	if err == nil {
 		return BreakNone
--- a/coordination/change/change_test.go
+++ b/coordination/change/change_test.go
@@ -26,22 +26,22 @@
 
 var errLost = errors.New("connection broke")
 
-// store is an object API in memory that can lose the answer of a write, after
-// others have written on top of it.
-type store struct {
+// memoryStore is an object API in memory that can lose the answer of a write, after others
+// have written on top of it.
+type memoryStore struct {
 	object adapter.Object
 	lose   bool
 	// after runs between a write and its lost answer.
 	after func()
-	// accepted is the stamps of the writes that took effect.
+	// accepted holds the stamps of the writes that took effect.
 	accepted map[string]bool
 }
 
-func (s *store) Get(context.Context, string, uint64) (adapter.Object, error) {
+func (s *memoryStore) Get(context.Context, string, uint64) (adapter.Object, error) {
 	return s.object, nil
 }
 
-func (s *store) Put(_ context.Context, _ string, version uint64, value []byte) (uint64, error) {
+func (s *memoryStore) Put(_ context.Context, _ string, version uint64, value []byte) (uint64, error) {
 	if version != s.object.Version {
 		return 0, adapter.ErrConflict
 	}
@@ -57,8 +57,8 @@
 	return 0, errLost
 }
 
-// write makes a change of one cell and notes what its author was told.
-func write(t interface{ Fatal(...any) }, s *store, base Document, id, endpoint string, slots int) (uint64, error) {
+// write changes one cell and returns what Put returned to its author.
+func write(t interface{ Fatal(...any) }, s *memoryStore, base Document, id, endpoint string, slots int) (uint64, error) {
 	next, err := base.WithCell("endpoint", endpoint, "slots", fmt.Sprint(slots))
 	if err != nil {
 		t.Fatal(err)
@@ -66,8 +66,8 @@
 	return Put(context.Background(), s, base, next, Stamp{ID: id, Author: id})
 }
 
-func newStore(t interface{ Fatal(...any) }) *store {
-	s := &store{accepted: make(map[string]bool)}
+func newStore(t interface{ Fatal(...any) }) *memoryStore {
+	s := &memoryStore{accepted: make(map[string]bool)}
 	first, _ := example.Table(example.Bogota)
 	if _, err := Put(context.Background(), s, Document{}, first, Stamp{ID: "first"}); err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 		base, err := Get(ctx, s)
 		convey.So(err, convey.ShouldBeNil)
 
-		convey.Convey("that loses a race is told the rows and the other author", func() {
+		convey.Convey("that loses a race returns the rows and the other author", func() {
 			_, err := write(t, s, base, "ana", "lm-porta-decode-1", 10)
 			convey.So(err, convey.ShouldBeNil)
 			_, err = write(t, s, base, "luis", "lm-porta-decode-1", 12)
@@ -124,13 +124,14 @@
 	})
 }
 
-// TestWritersAgree lets operators change the same table at once, with answers
-// lost, and checks that each was told the truth and no accepted change is lost.
+// TestWritersAgree lets operators change the same table concurrently, with lost answers.
+// It checks that each author was told correctly whether the change was accepted, and that
+// no accepted change is lost.
 func TestWritersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore(t)
 		bases := make([]Document, 3)
-		told := 0
+		reported := 0
 		var first uint64
 		for n := range rapid.IntRange(1, 25).Draw(t, "steps") {
 			w := rapid.IntRange(0, 2).Draw(t, "writer")
@@ -145,14 +146,14 @@
 			_, err := write(t, s, bases[w], fmt.Sprintf("w%d-%d", w, n), "lm-porta-decode-1", 1+n)
 			s.lose = false
 			if accepted := s.object.Version > before; accepted != (err == nil) {
-				t.Fatalf("accepted is %v, told %v", accepted, err)
+				t.Fatalf("accepted is %v, reported error %v", accepted, err)
 			}
 			if err == nil {
-				told++
+				reported++
 			}
 		}
-		if got := s.object.Version - first; got != uint64(told) {
-			t.Fatalf("%d changes were told accepted, the generation grew by %d", told, got)
+		if got := s.object.Version - first; got != uint64(reported) {
+			t.Fatalf("%d changes were reported as accepted, the generation grew by %d", reported, got)
 		}
 	})
 }
--- a/coordination/member/listed.go
+++ b/coordination/member/listed.go
@@ -11,28 +11,30 @@
 	"runridge.example/runridge/state/position"
 )
 
-// missingFor is how long boxes that a platform which came back older does not list any more
-// are taken for listed: they write their entries again, and a box without one counts as ended.
-const missingFor = 20 * time.Second
+// missingGracePeriod is how long boxes that disappeared from the list, because the
+// platform was restored from an older copy, still count as listed: they rewrite their
+// entries, and a box without an entry counts as ended.
+const missingGracePeriod = 20 * time.Second
 
-// listed is the platform's list as this box takes it.
+// listed is the platform's list of boxes as this box uses it. It is an immutable value.
 type listed struct {
-	// boxes are those on the list, and those that are missing from it until missingUntil.
-	boxes        map[string]adapter.Box
+	// boxes holds the entries of the list and, until missingUntil, those of missing.
+	boxes map[string]adapter.Box
+	// missing holds the entries listed before the platform was last restored.
 	missing      map[string]adapter.Box
 	missingUntil time.Time
 	era          uint64
 }
 
-// with returns the list after a reading by the box that is named.
-func (l listed) with(now time.Time, self string, list []adapter.Box) listed {
+// withRead returns the list after a read by the box named self.
+func (l listed) withRead(now time.Time, self string, list []adapter.Box) listed {
 	next := listed{boxes: make(map[string]adapter.Box, len(list)), missing: l.missing, missingUntil: l.missingUntil, era: l.era}
 	for _, b := range list {
 		next.boxes[b.Name] = b
 		next.era = max(next.era, position.Era(b.Version))
 	}
 	if next.era > l.era {
-		next.missing, next.missingUntil = maps.Clone(l.boxes), now.Add(missingFor)
+		next.missing, next.missingUntil = maps.Clone(l.boxes), now.Add(missingGracePeriod)
 		delete(next.missing, self)
 	}
 	if !now.Before(next.missingUntil) {
--- a/coordination/member/listed_test.go
+++ b/coordination/member/listed_test.go
@@ -13,7 +13,7 @@
 	"runridge.example/runridge/state/position"
 )
 
-// entries are boxes on a list of an era.
+// entries returns a list of boxes with positions of an era.
 func entries(era uint64, names ...string) []adapter.Box {
 	var out []adapter.Box
 	for i, name := range names {
@@ -22,7 +22,9 @@
 	return out
 }
 
-// TestBoxesThatAnOlderListLacks has box a read lists; boxes that are not listed count as ended.
+// TestBoxesThatAnOlderListLacks lets box a read lists, the last of which may lack boxes. A
+// box that is not listed counts as ended, so entries lost when the store is restored from
+// an older copy must be kept for a while.
 func TestBoxesThatAnOlderListLacks(t *testing.T) {
 	cases := map[string]struct {
 		lists [][]adapter.Box
@@ -30,10 +32,10 @@
 		after time.Duration
 		want  []string
 	}{
-		"taken off by another box":      {lists: [][]adapter.Box{entries(0, "a", "b", "c"), entries(0, "a", "b")}, want: []string{"a", "b"}},
+		"removed by another box":        {lists: [][]adapter.Box{entries(0, "a", "b", "c"), entries(0, "a", "b")}, want: []string{"a", "b"}},
 		"lost with the store's writes":  {lists: [][]adapter.Box{entries(0, "a", "b", "c"), entries(1, "a", "b")}, want: []string{"a", "b", "c"}},
-		"and for long":                  {lists: [][]adapter.Box{entries(0, "a", "b", "c"), entries(1, "a", "b"), entries(1, "a", "b")}, after: missingFor, want: []string{"a", "b"}},
-		"and for a while":               {lists: [][]adapter.Box{entries(0, "a", "b", "c"), entries(1, "a"), entries(1, "a", "b")}, after: missingFor - 1, want: []string{"a", "b", "c"}},
+		"missing for long":              {lists: [][]adapter.Box{entries(0, "a", "b", "c"), entries(1, "a", "b"), entries(1, "a", "b")}, after: missingGracePeriod, want: []string{"a", "b"}},
+		"missing for a while":           {lists: [][]adapter.Box{entries(0, "a", "b", "c"), entries(1, "a"), entries(1, "a", "b")}, after: missingGracePeriod - 1, want: []string{"a", "b", "c"}},
 		"the own entry":                 {lists: [][]adapter.Box{entries(0, "a", "b"), entries(1, "b")}, want: []string{"b"}},
 		"the first list, of a late era": {lists: [][]adapter.Box{entries(3, "a", "b")}, want: []string{"a", "b"}},
 	}
@@ -44,7 +46,7 @@
 				if i == len(c.lists)-1 {
 					now = now.Add(c.after)
 				}
-				l = l.with(now, "a", list)
+				l = l.withRead(now, "a", list)
 			}
 			if got := slices.Sorted(maps.Keys(l.boxes)); !slices.Equal(got, c.want) {
 				t.Errorf("listed are %v, want %v", got, c.want)
--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package member runs the membership protocol of a box: one goroutine that
-// owns the view, sends its messages and tells others of changes.
+// Package member runs the membership protocol of a box: one goroutine owns the view, sends
+// its messages and publishes its changes.
 package member
 
 import (
@@ -24,38 +24,39 @@
 	SendMember(to string, m member.Message) ring.Outcome
 }
 
-// Platform gives the lagging list of boxes.
+// Platform provides the list of boxes, which lags behind their writes.
 type Platform interface {
 	Boxes(ctx context.Context) ([]adapter.Box, error)
 }
 
-// Config configures the duty.
+// Config configures a Members.
 type Config struct {
 	View     member.Config
 	Sender   Sender
 	Platform Platform
-	// Poll is how often the platform's list is read.
+	// Poll is the interval between reads of the platform's list in a small fleet; 0 is
+	// defaultPoll.
 	Poll time.Duration
-	// OnChange gets the view's boxes after each change; it must not block.
+	// OnChange receives the view's boxes after changes; it must not block.
 	OnChange func(Snapshot)
-	// OnPause is called when this box has noticed a pause of its own, or that
-	// others thought it dead.
+	// OnPause is called when this box has noticed that its own process was paused, or that
+	// others considered it dead.
 	OnPause func()
 	Log     log.Logger
 }
 
-// Snapshot is what others may know of the view.
+// Snapshot is the view as published to the rest of the box.
 type Snapshot struct {
-	// Duty are the boxes that may have duties, this one included.
+	// Duty holds the boxes that may have duties, including this one.
 	Duty []member.Box
-	// All are all boxes that are remembered, the dead included.
+	// All holds all remembered boxes, including dead ones.
 	All []member.Box
-	// Listed are the entries on the platform's list when it was last read, by
-	// name; empty before that.
+	// Listed maps a name to its entry on the platform's list as last read; it is nil before
+	// the first read.
 	Listed map[string]adapter.Box
 }
 
-// Box finds a box by name.
+// Box returns the box of a name, and whether it is remembered.
 func (s Snapshot) Box(name string) (member.Box, bool) {
 	for _, b := range s.All {
 		if b.Name == name {
@@ -67,37 +68,37 @@
 
 const (
 	defaultPoll = 2 * time.Second
-	// ticksPerTimeout is how often in a probe's timeout the duty looks.
-	ticksPerTimeout = 2
-	queueSize       = 1024
-	refusedQueue    = 64
+	// ticksPerTimeout is the number of ticks of the protocol per probe timeout.
+	ticksPerTimeout  = 2
+	queueSize        = 1024
+	refusedQueueSize = 64
 )
 
 // incoming is a message from another box.
 type incoming struct {
-	from string
-	m    member.Message
+	from    string
+	message member.Message
 }
 
-// Members runs the protocol.
+// Members runs the membership protocol.
 type Members struct {
 	cfg     Config
 	queue   *ring.Ring[incoming]
 	lists   chan []adapter.Box
 	leave   chan struct{}
 	refused chan string
-	// reread is poked when the list is to be read at once.
-	reread   chan struct{}
-	snapshot atomic.Pointer[Snapshot]
-	delays   atomic.Pointer[locality.Delays]
-	listed   listed
-	// changed says that the view has changed since it was last published, and
-	// publishFrom is when it may be published again.
+	// rereadRequest holds a request to read the list at once.
+	rereadRequest chan struct{}
+	snapshot      atomic.Pointer[Snapshot]
+	delays        atomic.Pointer[locality.Delays]
+	listed        listed
+	// changed is set if the view has changed since it was last published, and nextPublish is
+	// the earliest time to publish it again.
 	changed     bool
-	publishFrom time.Time
+	nextPublish time.Time
 }
 
-// New makes the duty; Run starts it.
+// New returns a Members; Run starts it.
 func New(cfg Config) *Members {
 	if cfg.Poll <= 0 {
 		cfg.Poll = defaultPoll
@@ -108,22 +109,22 @@
 		lists: make(chan []adapter.Box),
 		leave: make(chan struct{}, 1),
 
-		refused: make(chan string, refusedQueue),
-		reread:  make(chan struct{}, 1),
+		refused:       make(chan string, refusedQueueSize),
+		rereadRequest: make(chan struct{}, 1),
 	}
 	m.snapshot.Store(&Snapshot{Duty: []member.Box{cfg.View.Self}, All: []member.Box{cfg.View.Self}})
 	m.delays.Store(&locality.Delays{})
 	return m
 }
 
-// Receive takes a message from another box. A full queue loses it, as a
-// network would.
+// Receive queues a message from another box. A full queue drops it, as a network would.
 func (m *Members) Receive(from string, message member.Message) ring.Outcome {
-	return m.queue.Offer(incoming{from: from, m: message})
+	return m.queue.Offer(incoming{from: from, message: message})
 }
 
-// Refused takes in the proof that a box's process is gone. One that finds no
-// room is found again by the next message to that box.
+// Refused reports that a box refused a connection, which proves that its process is gone.
+// A report that doesn't fit into the queue is dropped; the next message to that box
+// repeats it.
 func (m *Members) Refused(box string) {
 	select {
 	case m.refused <- box:
@@ -131,7 +132,7 @@
 	}
 }
 
-// Leave makes this box say that it is leaving.
+// Leave makes this box announce that it is leaving.
 func (m *Members) Leave() {
 	select {
 	case m.leave <- struct{}{}:
@@ -139,18 +140,18 @@
 	}
 }
 
-// Snapshot is the view as of the last change.
+// Snapshot returns the view as last published.
 func (m *Members) Snapshot() Snapshot {
 	return *m.snapshot.Load()
 }
 
-// Delays are the round trips to other zones, as this box's own probes found them.
+// Delays returns the round trips to other zones, measured by this box's own probes.
 func (m *Members) Delays() locality.Delays {
 	return *m.delays.Load()
 }
 
-// measure takes in the round trip of a probe, if one has just been answered.
-func (m *Members) measure(view *member.View, now time.Time) {
+// recordRoundTrip records the round trip of a probe, if one has just been answered.
+func (m *Members) recordRoundTrip(view *member.View, now time.Time) {
 	trip, ok := view.Measured()
 	if !ok {
 		return
@@ -161,7 +162,7 @@
 	}
 }
 
-// Run is the duty. It ends with the context.
+// Run runs the protocol until the context ends.
 func (m *Members) Run(ctx context.Context) error {
 	view := member.New(m.cfg.View, time.Now())
 	timeout := m.cfg.View.Timeout
@@ -179,10 +180,10 @@
 			return nil
 		case in := <-m.queue.C():
 			now = time.Now()
-			m.send(view.Receive(now, in.from, in.m))
-			m.measure(view, now)
+			m.send(view.Receive(now, in.from, in.message))
+			m.recordRoundTrip(view, now)
 		case list := <-m.lists:
-			m.introduce(view, now, list)
+			m.applyList(view, now, list)
 		case <-m.leave:
 			view.Leave(now)
 		case name := <-m.refused:
@@ -201,11 +202,11 @@
 	}
 }
 
-// ReadAgain has the list read at once: the box may have missed what the others said, or be
-// missing from it.
+// ReadAgain makes the list be read at once: the box may have missed messages, or be
+// missing from the list.
 func (m *Members) ReadAgain() {
 	select {
-	case m.reread <- struct{}{}:
+	case m.rereadRequest <- struct{}{}:
 	default:
 	}
 }
@@ -217,27 +218,26 @@
 }
 
 const (
-	// publishShare is the part of the time that publishing may take, and
-	// longestPublishPause how long a change may wait for it: a fleet that starts brings
-	// a change for each of its boxes within a second, and each one has the homes of
-	// all groups worked out anew.
-	publishShare        = 0.1
-	longestPublishPause = 100 * time.Millisecond
+	// publishShare is the share of time that publishing may take, and maxPublishDelay how
+	// long a change may wait for it: a starting fleet brings a change for each of its boxes
+	// within a second, and each publication recomputes the homes of all groups.
+	publishShare    = 0.1
+	maxPublishDelay = 100 * time.Millisecond
 )
 
-// publish tells of a changed view, at once if the last time is long enough ago.
-// The next tick publishes what waits.
+// publish publishes a changed view, or leaves it to a later call if the last publication
+// is too recent; each tick calls it again.
 func (m *Members) publish(view *member.View) {
 	m.changed = view.Changed() || m.changed
-	begin := time.Now()
-	if !m.changed || begin.Before(m.publishFrom) {
+	start := time.Now()
+	if !m.changed || start.Before(m.nextPublish) {
 		return
 	}
 	m.changed = false
 	defer func() {
-		took := time.Since(begin)
-		pause := time.Duration(float64(took) / publishShare)
-		m.publishFrom = begin.Add(min(pause, longestPublishPause))
+		took := time.Since(start)
+		interval := time.Duration(float64(took) / publishShare)
+		m.nextPublish = start.Add(min(interval, maxPublishDelay))
 	}()
 	s := Snapshot{Duty: view.Duty(), All: view.All(), Listed: m.listed.boxes}
 	m.snapshot.Store(&s)
@@ -249,34 +249,34 @@
 	m.cfg.OnChange(s)
 }
 
-func (m *Members) introduce(view *member.View, now time.Time, list []adapter.Box) {
-	m.listed = m.listed.with(now, m.cfg.View.Self.Name, list)
+func (m *Members) applyList(view *member.View, now time.Time, list []adapter.Box) {
+	m.listed = m.listed.withRead(now, m.cfg.View.Self.Name, list)
 	for _, b := range list {
 		if b.Name == m.cfg.View.Self.Name {
 			continue
 		}
 		view.Introduce(now, member.Box{Name: b.Name, Address: b.Address, Zone: b.Zone, Wire: b.Wire})
 	}
-	// What was gathered from the list alone goes out with the next change;
-	// the names are kept current here.
+	// Boxes known from the list alone are published with the next change; only the listed
+	// entries are updated here.
 	s := *m.snapshot.Load()
 	s.Listed = m.listed.boxes
 	m.snapshot.Store(&s)
 }
 
-// poll reads the platform's list from time to time. During an outage the boxes
-// go on with what they know of each other.
+// poll reads the platform's list repeatedly. During an outage of the platform the boxes
+// continue with what they know of each other.
 func (m *Members) poll(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	known, early, pause := 0, mostEarlyReads, time.Duration(0)
+	known, earlyReads, interval := 0, maxEarlyReads, time.Duration(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-m.reread:
-			pause = 0
+		case <-m.rereadRequest:
+			interval = 0
 		}
 		call, cancel := context.WithTimeout(ctx, m.cfg.Poll)
 		list, err := m.cfg.Platform.Boxes(call)
@@ -294,21 +294,22 @@
 				return
 			}
 		}
-		if early > 0 && !m.listsSelf(list) {
-			early--
-			timer.Reset(min(earlyRead, m.cfg.Poll))
+		if earlyReads > 0 && !m.listsSelf(list) {
+			earlyReads--
+			timer.Reset(min(earlyReadInterval, m.cfg.Poll))
 			continue
 		}
-		pause = pollPause(m.cfg.Poll, pause, known, m.checks(), m.listsSelf(list))
-		timer.Reset(pause)
+		interval = pollInterval(m.cfg.Poll, interval, known, m.isChecker(), m.listsSelf(list))
+		timer.Reset(interval)
 	}
 }
 
-// pollPause is how long after one reading of the list the next follows. All boxes together
-// read it at the rate of a small fleet. Who lives is told by membership, so that the list is
-// checked by a few, and by the others less and less often: each reading has all boxes in it.
-// One that does not find itself reads again sooner: the list lags behind its entry.
-func pollPause(poll, before time.Duration, known int, checks, listed bool) time.Duration {
+// pollInterval returns the interval between a read of the list and the next one. All boxes
+// together read it at the rate of a small fleet. Membership reports which boxes are alive,
+// so a few boxes check the list, and the others read it less and less often: each read
+// returns all boxes. A box that is missing from the list reads it again sooner, because
+// the list lags behind its entry.
+func pollInterval(poll, before time.Duration, known int, checks, listed bool) time.Duration {
 	first := poll * time.Duration(1+known/pollFleet)
 	switch {
 	case !listed:
@@ -316,22 +317,24 @@
 	case checks || before < first:
 		return first
 	default:
-		return min(2*before, longestPolls*first)
+		return min(2*before, maxPollFactor*first)
 	}
 }
 
 const (
-	// checkers is how many boxes check the list for all.
+	// checkers is the number of boxes that check the list for all.
 	checkers = 3
-	// longestPolls is how many times longer the others' pauses become.
-	longestPolls = 32
-	// CheckKey orders the boxes for that, and for who takes dead ones off the list: its
-	// first box has to know it as it is.
+	// maxPollFactor bounds by what factor the interval of the other boxes grows.
+	maxPollFactor = 32
+	// CheckKey is the key of the order from which the checking boxes are taken, and also the
+	// box that removes dead ones from the list: the first box in that order needs a current
+	// list.
 	CheckKey = "registry"
 )
 
-// checks says whether this box checks the list for all. One that knows no other does.
-func (m *Members) checks() bool {
+// isChecker reports whether this box checks the list for all. A box that knows no other
+// does.
+func (m *Members) isChecker() bool {
 	duty := m.Snapshot().Duty
 	names := make([]string, 0, len(duty))
 	for _, b := range duty {
@@ -340,18 +343,19 @@
 	return len(names) <= 1 || slices.Contains(rank.Of(names).First(CheckKey, checkers), m.cfg.View.Self.Name)
 }
 
-// Boxes of a fleet that starts for the first time read an empty list and join it. A box
-// that does not find itself there reads again soon, so that it learns of the others:
-// until then it takes itself for the home of every account and gives out its whole quota.
+// When a fleet starts for the first time, its boxes read an empty list and then join it. A
+// box that doesn't find itself on the list reads it again soon, to learn of the others:
+// until then it considers itself the home of every account and hands out the account's
+// whole quota.
 const (
-	earlyRead      = 200 * time.Millisecond
-	mostEarlyReads = 3
+	earlyReadInterval = 200 * time.Millisecond
+	maxEarlyReads     = 3
 )
 
-// listsSelf says whether this box stands on a list.
+// listsSelf reports whether this box is on a list.
 func (m *Members) listsSelf(list []adapter.Box) bool {
 	return slices.ContainsFunc(list, func(b adapter.Box) bool { return b.Name == m.cfg.View.Self.Name })
 }
 
-// pollFleet is the fleet size up to which each box reads the list every Poll.
+// pollFleet is the size of a fleet up to which each box reads the list every Poll.
 const pollFleet = 20
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -17,21 +17,22 @@
 	"runridge.example/runridge/state/member"
 )
 
-type nowhere struct{}
+// noNetwork drops messages and returns an empty list.
+type noNetwork struct{}
 
-func (nowhere) SendMember(string, member.Message) ring.Outcome { return ring.Accepted }
+func (noNetwork) SendMember(string, member.Message) ring.Outcome { return ring.Accepted }
 
-func (nowhere) Boxes(context.Context) ([]adapter.Box, error) { return nil, nil }
+func (noNetwork) Boxes(context.Context) ([]adapter.Box, error) { return nil, nil }
 
 // TestManyChangesArePublishedTogether starts a fleet of 300 boxes whose starts are
-// heard one by one, where taking a change over costs 5 ms.
+// received one by one, where handling a publication takes 5 ms.
 func TestManyChangesArePublishedTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes, cost = 300, 5 * time.Millisecond
 		published, known := 0, 0
 		m := New(Config{
 			View:   member.Config{Self: member.Box{Name: "self", Start: 1, Incarnation: 1}},
-			Sender: nowhere{}, Platform: nowhere{}, Log: log.Discard(), OnPause: func() {},
+			Sender: noNetwork{}, Platform: noNetwork{}, Log: log.Discard(), OnPause: func() {},
 			OnChange: func(s Snapshot) {
 				time.Sleep(cost)
 				published++
@@ -47,40 +48,40 @@
 			m.Receive(b.Name, member.Message{Kind: member.Ack, Updates: []member.Box{b}})
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(longestPublishPause + time.Second)
+		time.Sleep(maxPublishDelay + time.Second)
 		synctest.Wait()
 		if known != boxes+1 {
-			t.Errorf("the last that was published has %d boxes, want %d", known, boxes+1)
+			t.Errorf("the last published view has %d boxes, want %d", known, boxes+1)
 		}
-		// A tenth of the time, beside the first change and those that expire later.
+		// A tenth of the time, plus the first change and those that expire later.
 		if spent := time.Duration(published) * cost; spent > time.Since(begin)/5 {
 			t.Errorf("%d changes were published, %v of %v", published, spent, time.Since(begin))
 		}
 	})
 }
 
-// growing is a platform on whose list nobody stands at the first reading.
-type growing struct {
-	nowhere
+// growingList is a platform whose list is empty at the first read.
+type growingList struct {
+	noNetwork
 	reads atomic.Int64
 	later []adapter.Box
 }
 
-func (g *growing) Boxes(context.Context) ([]adapter.Box, error) {
+func (g *growingList) Boxes(context.Context) ([]adapter.Box, error) {
 	if g.reads.Add(1) == 1 {
 		return nil, nil
 	}
 	return g.later, nil
 }
 
-// TestFirstStart starts a box on an empty list, which others join as it does, and one
-// that never finds itself on the list.
+// TestFirstStart starts a box on an empty list, which other boxes join at the same time,
+// and a box that never finds itself on the list.
 func TestFirstStart(t *testing.T) {
 	box := func(name string) adapter.Box { return adapter.Box{Name: name, Address: "127.0.0.1:1"} }
 	cases := map[string]struct {
 		later []adapter.Box
 		known int
-		// reads are those in ten seconds.
+		// reads is the maximum number of reads in ten seconds.
 		reads int64
 	}{
 		"all join":        {later: []adapter.Box{box("a"), box("b"), box("self")}, known: 3, reads: 7},
@@ -89,10 +90,10 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				list := &growing{later: c.later}
+				list := &growingList{later: c.later}
 				m := New(Config{
 					View:   member.Config{Self: member.Box{Name: "self", Start: 1, Incarnation: 1}},
-					Sender: nowhere{}, Platform: list, Log: log.Discard(), OnPause: func() {}, OnChange: func(Snapshot) {},
+					Sender: noNetwork{}, Platform: list, Log: log.Discard(), OnPause: func() {}, OnChange: func(Snapshot) {},
 				})
 				ctx, end := context.WithCancel(t.Context())
 				defer end()
--- a/coordination/notice/notice.go
+++ b/coordination/notice/notice.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package notice keeps what endpoints say of themselves in their answers: the limit that
-// they name to all boxes together, that they leave, and for how long they want rest from
-// this box. Limits are counted by the homes of the endpoints' groups, which a box tells
-// with each question; whether an endpoint that leaves or rests may get a request, each box
-// decides before it sends.
+// Package notice keeps the notices that endpoints give in their answers: the limit on
+// requests from all boxes together, that the endpoint is leaving, and how long it wants no
+// requests from this box. The homes of the endpoints' groups enforce limits, which a box
+// sends to them with each request for a grant; each box checks by itself, before it sends,
+// whether an endpoint that is leaving or resting may get a request.
 package notice
 
 import (
@@ -21,45 +21,47 @@
 
 // Config configures a Keeper.
 type Config struct {
-	// OnLimit, if set, is called when an endpoint's answer changes what is known of its
-	// limit. It must not block.
+	// OnLimit, if set, is called when an endpoint's answer changes its known limit. It must
+	// not block.
 	OnLimit func(l schedule.EngineLimit)
-	// Born is the Unix millisecond of an endpoint's latest known start; 0 is not known. Nil
-	// knows none.
+	// Born returns the Unix millisecond of an endpoint's latest known start, or 0 if it
+	// isn't known. Nil stands for a function that knows none.
 	Born func(endpoint string) int64
 	Log  log.Logger
-	// Now is the clock; nil is that of the machine.
+	// Now is the clock; nil is time.Now.
 	Now func() time.Time
 }
 
 // Answered is an endpoint's answer to a call of this box.
 type Answered struct {
-	// Request and Endpoint name both; a call that is no caller's has no request.
+	// Request and Endpoint are the IDs of both; a call that isn't made for a caller has no
+	// request.
 	Request, Endpoint string
-	// Born is the start of the endpoint that answered, as Config.Born tells it.
+	// Born is the start of the endpoint that answered, as returned by Config.Born.
 	Born int64
-	// Restarts says that the endpoint may start again without another name or Born.
+	// Restarts is set if the endpoint may restart without a new name or a new Born.
 	Restarts bool
 	Notice   pace.Notice
-	// Served says that the endpoint took the request. Only such an answer shows by naming no
-	// limit that there is none any more: what turns requests away may not say all.
+	// Served is set if the endpoint accepted the request. Only such an answer proves, by
+	// naming no limit, that the limit has ended: a rejection may not carry all notices.
 	Served bool
 }
 
-// entry is what this box knows of an endpoint.
+// entry holds the notices of an endpoint.
 type entry struct {
 	limit   pace.Limit
 	limitAt time.Time
-	// born is the start that leaving and restUntil are about.
+	// born is the endpoint's start to which leaving and restUntil apply.
 	born int64
-	// leaving says that it leaves; leavingUntil, if set, is until when that counts.
+	// leaving is set if the endpoint is leaving; leavingUntil, if set, is when that expires.
 	leaving      bool
 	leavingUntil time.Time
 	restUntil    time.Time
-	heard        time.Time
+	updatedAt    time.Time
 }
 
-// standing is whether an endpoint that last started then may be sent to.
+// standing returns whether an endpoint whose last known start is born may be sent
+// requests.
 func (e entry) standing(now time.Time, born int64) Standing {
 	if e.born != born {
 		return Standing{}
@@ -70,15 +72,15 @@
 	}
 }
 
-// Standing is whether this box may send to an endpoint.
+// Standing describes whether this box may send requests to an endpoint.
 type Standing struct {
-	// Leaving says that the endpoint has said that it leaves.
+	// Leaving is set if the endpoint has announced that it is leaving.
 	Leaving bool
-	// Rest is for how much longer it wants nothing from this box.
+	// Rest is how much longer the endpoint wants no requests from this box.
 	Rest time.Duration
 }
 
-// Open says whether the box may send.
+// Open reports whether the box may send.
 func (s Standing) Open() bool { return s.Reason() == "" }
 
 // Reasons for which this box does not send to an endpoint that serves others.
@@ -87,7 +89,7 @@
 	ReasonResting = "endpoint_resting"
 )
 
-// Reason is why the box may not send; empty is that it may.
+// Reason returns why the box may not send, or an empty string if it may.
 func (s Standing) Reason() string {
 	switch {
 	case s.Leaving:
@@ -99,32 +101,32 @@
 	}
 }
 
-// Closed is an endpoint that this box may not send to.
+// Closed is an endpoint to which this box may not send.
 type Closed struct {
 	Endpoint string
 	Standing
 }
 
 const (
-	// maxKnown bounds the endpoints that something is kept of.
-	maxKnown = 1024
-	// maxRest keeps what an endpoint wants within what a duration can tell.
+	// maxEntries bounds the number of endpoints whose notices are kept.
+	maxEntries = 1024
+	// maxRest bounds a rest, so that the time it ends at doesn't overflow.
 	maxRest = 24 * time.Hour
-	// restartTime is after how long an endpoint that leaves is tried again, where its
-	// name does not tell one start from the next.
-	restartTime = time.Minute
+	// leavingTimeout is how long an endpoint counts as leaving if its name doesn't
+	// distinguish one start from the next; it is tried again after that.
+	leavingTimeout = time.Minute
 )
 
-// Keeper keeps the notices. A nil one keeps none. It is safe for use by several goroutines.
+// Keeper keeps the notices. A nil Keeper keeps none. It is safe for concurrent use.
 type Keeper struct {
-	cfg   Config
-	mutex sync.Mutex
-	known map[string]entry
-	// closed are the endpoints that may leave or rest.
+	cfg     Config
+	mutex   sync.Mutex
+	entries map[string]entry
+	// closed holds the endpoints that may be leaving or resting.
 	closed map[string]bool
 }
 
-// New makes a keeper.
+// New returns a Keeper.
 func New(cfg Config) *Keeper {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -132,10 +134,10 @@
 	if cfg.Born == nil {
 		cfg.Born = func(string) int64 { return 0 }
 	}
-	return &Keeper{cfg: cfg, known: make(map[string]entry), closed: make(map[string]bool)}
+	return &Keeper{cfg: cfg, entries: make(map[string]entry), closed: make(map[string]bool)}
 }
 
-// Answered takes in what an answer says of its endpoint.
+// Answered records the notices in an answer.
 func (k *Keeper) Answered(a Answered) {
 	if k == nil {
 		return
@@ -144,8 +146,8 @@
 	k.noteLimit(a)
 }
 
-// noteClosed takes in that an endpoint leaves or wants rest. Neither ends by an answer
-// that does not say so, since answers overtake each other.
+// noteClosed records that an endpoint is leaving or wants rest. An answer without such a
+// notice ends neither, because answers may arrive out of order.
 func (k *Keeper) noteClosed(a Answered) {
 	n := a.Notice
 	if !n.Leaving && n.Rest <= 0 {
@@ -153,16 +155,16 @@
 	}
 	now := k.cfg.Now()
 	k.mutex.Lock()
-	e := k.known[a.Endpoint]
+	e := k.entries[a.Endpoint]
 	before := e.standing(now, a.Born)
 	if e.born != a.Born {
 		e.leaving, e.leavingUntil, e.restUntil = false, time.Time{}, time.Time{}
 	}
-	e.born, e.heard = a.Born, now
+	e.born, e.updatedAt = a.Born, now
 	if n.Leaving {
 		e.leaving = true
 		if a.Restarts {
-			e.leavingUntil = now.Add(restartTime)
+			e.leavingUntil = now.Add(leavingTimeout)
 		}
 	}
 	if until := now.Add(min(n.Rest, maxRest)); n.Rest > 0 && until.After(e.restUntil) {
@@ -191,9 +193,9 @@
 	}
 	now := k.cfg.Now()
 	k.mutex.Lock()
-	e := k.known[a.Endpoint]
+	e := k.entries[a.Endpoint]
 	before := e.limit
-	e.limit, e.limitAt, e.heard = limit, now, now
+	e.limit, e.limitAt, e.updatedAt = limit, now, now
 	k.put(a.Endpoint, e)
 	k.mutex.Unlock()
 	if before == limit {
@@ -212,14 +214,15 @@
 	}
 }
 
-// Heard takes in what a group's home knows, where that is later than what is known here.
+// Heard records the limits known to a group's home, where they are newer than those known
+// here.
 func (k *Keeper) Heard(limits []schedule.EngineLimit) {
 	if k == nil || len(limits) == 0 {
 		return
 	}
 	now := k.cfg.Now()
 	for _, l := range limits {
-		before, later := k.hear(now, l)
+		before, later := k.updateLimit(now, l)
 		if !later || before == l.Limit {
 			continue
 		}
@@ -234,37 +237,37 @@
 	}
 }
 
-// hear takes in what a home knows of one limit. It returns what was known before, and whether
-// the home knows it later.
-func (k *Keeper) hear(now time.Time, l schedule.EngineLimit) (before pace.Limit, later bool) {
+// updateLimit records a limit known to a home. It returns the limit known before, and
+// whether the home's is newer.
+func (k *Keeper) updateLimit(now time.Time, l schedule.EngineLimit) (before pace.Limit, later bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	e := k.known[l.Engine]
+	e := k.entries[l.Engine]
 	at := now.Add(-l.Age)
 	if !at.After(e.limitAt) {
 		return e.limit, false
 	}
 	before = e.limit
-	e.limit, e.limitAt, e.heard = l.Limit, at, at
+	e.limit, e.limitAt, e.updatedAt = l.Limit, at, at
 	k.put(l.Engine, e)
 	return before, true
 }
 
-// Any says whether anything is known of any endpoint.
+// Any reports whether any notice is kept.
 func (k *Keeper) Any() bool {
 	if k == nil {
 		return false
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return len(k.known) > 0
+	return len(k.entries) > 0
 }
 
-// maxTold bounds the limits that go with one question.
-const maxTold = 16
+// maxSentLimits bounds the number of limits sent with one request for a grant.
+const maxSentLimits = 16
 
-// Limits lists what is known of some endpoints' limits: of many a part, another one at each
-// turn.
+// Limits returns the known limits of some endpoints. If there are more than maxSentLimits
+// it returns a part of them, which starts at another endpoint for each turn.
 func (k *Keeper) Limits(endpoints []table.Member, turn uint64) []schedule.EngineLimit {
 	if k == nil {
 		return nil
@@ -274,34 +277,34 @@
 	now := k.cfg.Now()
 	var out []schedule.EngineLimit
 	for _, m := range endpoints {
-		if e := k.known[m.Endpoint.Name]; e.limit.Named {
+		if e := k.entries[m.Endpoint.Name]; e.limit.Named {
 			out = append(out, schedule.EngineLimit{Engine: m.Endpoint.Name, Limit: e.limit, Age: now.Sub(e.limitAt)})
 		}
 	}
-	if len(out) <= maxTold {
+	if len(out) <= maxSentLimits {
 		return out
 	}
 	first := int(turn % uint64(len(out)))
-	return slices.Concat(out[first:], out[:first])[:maxTold]
+	return slices.Concat(out[first:], out[:first])[:maxSentLimits]
 }
 
-// Limited says whether an endpoint names a limit, as far as this box knows.
+// Limited reports whether an endpoint has a limit, as far as this box knows.
 func (k *Keeper) Limited(endpoint string) bool {
 	if k == nil {
 		return false
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.known[endpoint].limit.Named
+	return k.entries[endpoint].limit.Named
 }
 
-// Standing says whether this box may send to an endpoint.
+// Standing returns whether this box may send to an endpoint.
 func (k *Keeper) Standing(endpoint string) Standing {
 	if k == nil {
 		return Standing{}
 	}
 	k.mutex.Lock()
-	e, may := k.known[endpoint], k.closed[endpoint]
+	e, may := k.entries[endpoint], k.closed[endpoint]
 	k.mutex.Unlock()
 	if !may {
 		return Standing{}
@@ -309,8 +312,8 @@
 	return e.standing(k.cfg.Now(), k.cfg.Born(endpoint))
 }
 
-// Closed lists the endpoints that this box may not send to, and forgets why of those that
-// it may again.
+// Closed returns the endpoints to which this box may not send, sorted by name. It deletes
+// the notices of closed endpoints that have become open again.
 func (k *Keeper) Closed() []Closed {
 	if k == nil {
 		return nil
@@ -330,9 +333,9 @@
 	for _, endpoint := range names {
 		born := k.cfg.Born(endpoint)
 		k.mutex.Lock()
-		standing := k.known[endpoint].standing(now, born)
+		standing := k.entries[endpoint].standing(now, born)
 		if standing.Open() {
-			k.open(endpoint)
+			k.clearClosed(endpoint)
 		}
 		k.mutex.Unlock()
 		if !standing.Open() {
@@ -342,8 +345,8 @@
 	return out
 }
 
-// LeastRest is after how long the first of some endpoints that rest may be sent to again; 0
-// is that none rests.
+// LeastRest returns the shortest remaining rest among the resting endpoints for which of
+// returns true, or 0 if none rests.
 func (k *Keeper) LeastRest(of func(endpoint string) bool) time.Duration {
 	least := time.Duration(0)
 	for _, c := range k.Closed() {
@@ -354,46 +357,48 @@
 	return least
 }
 
-// open forgets why an endpoint was closed. The mutex is held.
-func (k *Keeper) open(endpoint string) {
+// clearClosed deletes what closed an endpoint, and keeps its limit. The caller holds the
+// mutex.
+func (k *Keeper) clearClosed(endpoint string) {
 	delete(k.closed, endpoint)
-	if e := k.known[endpoint]; e.limit.Named {
+	if e := k.entries[endpoint]; e.limit.Named {
 		e.leaving, e.leavingUntil, e.restUntil = false, time.Time{}, time.Time{}
-		k.known[endpoint] = e
+		k.entries[endpoint] = e
 		return
 	}
-	delete(k.known, endpoint)
+	delete(k.entries, endpoint)
 }
 
-// put replaces what is known of an endpoint. The mutex is held.
+// put replaces an endpoint's entry, or deletes it if it is empty. If there are too many
+// entries it evicts one. The caller holds the mutex.
 func (k *Keeper) put(endpoint string, e entry) {
 	if !e.limit.Named && !e.leaving && e.restUntil.IsZero() {
-		delete(k.known, endpoint)
+		delete(k.entries, endpoint)
 		return
 	}
-	if _, had := k.known[endpoint]; !had && len(k.known) >= maxKnown {
-		k.forgetOldest()
+	if _, had := k.entries[endpoint]; !had && len(k.entries) >= maxEntries {
+		k.evictOldest()
 	}
-	k.known[endpoint] = e
+	k.entries[endpoint] = e
 }
 
-// forgetOldest forgets the endpoint that was heard of the longest ago: one that is not
-// closed, if there is any, as its home knows its limit too.
-func (k *Keeper) forgetOldest() {
+// evictOldest deletes the least recently updated entry, preferably one of an endpoint that
+// isn't closed, because a limit is also known to the endpoint's home.
+func (k *Keeper) evictOldest() {
 	oldest := ""
-	for endpoint, e := range k.known {
-		if oldest == "" || k.before(endpoint, e, oldest) {
+	for endpoint, e := range k.entries {
+		if oldest == "" || k.evictedBefore(endpoint, e, oldest) {
 			oldest = endpoint
 		}
 	}
-	delete(k.known, oldest)
+	delete(k.entries, oldest)
 	delete(k.closed, oldest)
 }
 
-// before says whether an endpoint is forgotten before another one.
-func (k *Keeper) before(endpoint string, e entry, other string) bool {
+// evictedBefore reports whether an endpoint is evicted before another one.
+func (k *Keeper) evictedBefore(endpoint string, e entry, other string) bool {
 	if k.closed[endpoint] != k.closed[other] {
 		return k.closed[other]
 	}
-	return e.heard.Before(k.known[other].heard)
+	return e.updatedAt.Before(k.entries[other].updatedAt)
 }
--- a/coordination/notice/notice_test.go
+++ b/coordination/notice/notice_test.go
@@ -19,8 +19,9 @@
 
 var three = pace.LimitOf(3)
 
-// keeper keeps limits by a clock that the test sets, and notes what changes.
-func keeper(now *time.Time) (k *Keeper, changes *[]schedule.EngineLimit) {
+// newKeeper returns a Keeper whose clock the test sets, and the changes of limits that it
+// reports.
+func newKeeper(now *time.Time) (k *Keeper, changes *[]schedule.EngineLimit) {
 	changes = new([]schedule.EngineLimit)
 	return New(Config{
 		Log: log.Discard(), Now: func() time.Time { return *now },
@@ -45,15 +46,15 @@
 		"one that names a limit":           {answers: []Answered{{Notice: pace.Notice{Limit: three}, Served: true}}, names: true, changes: 1},
 		"another one":                      {answers: []Answered{{Notice: pace.Notice{Limit: three}, Served: true}, {Notice: pace.Notice{Limit: three}, Served: true}}, names: true, changes: 1},
 		"another limit":                    {answers: []Answered{{Notice: pace.Notice{Limit: three}, Served: true}, {Notice: pace.Notice{Limit: pace.LimitOf(2)}}}, names: true, changes: 2},
-		"one that turns the request away":  {answers: []Answered{{Notice: pace.Notice{Limit: three}}}, names: true, changes: 1},
+		"one that rejects the request":     {answers: []Answered{{Notice: pace.Notice{Limit: three}}}, names: true, changes: 1},
 		"one that names none":              {answers: []Answered{{Notice: pace.Notice{Limit: three}}, {Served: true}}, changes: 2},
-		"none named, turned away":          {answers: []Answered{{Notice: pace.Notice{Limit: three}}, {}}, names: true, changes: 1},
+		"none named, rejected":             {answers: []Answered{{Notice: pace.Notice{Limit: three}}, {}}, names: true, changes: 1},
 		"none named where none was before": {answers: []Answered{{Served: true}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(0, 0)
-			k, changes := keeper(&now)
+			k, changes := newKeeper(&now)
 			for _, a := range c.answers {
 				a.Endpoint = "e"
 				k.Answered(a)
@@ -65,38 +66,39 @@
 	}
 }
 
-func TestLaterWordCounts(t *testing.T) {
+func TestLaterReportCounts(t *testing.T) {
 	now := time.Unix(10, 0)
-	k, changes := keeper(&now)
+	k, changes := newKeeper(&now)
 	k.Answered(Answered{Endpoint: "e", Notice: pace.Notice{Limit: three}})
 	now = now.Add(time.Second)
 	k.Heard([]schedule.EngineLimit{{Engine: "e", Age: 2 * time.Second}})
 	if !k.Limited("e") {
-		t.Error("an older end of a limit counts")
+		t.Error("an older report ends a limit")
 	}
 	k.Heard([]schedule.EngineLimit{{Engine: "e", Age: 500 * time.Millisecond}, {Engine: "f", Limit: three, Age: time.Second}})
 	if k.Limited("e") || !k.Limited("f") {
-		t.Error("what a home knows later does not count")
+		t.Error("a newer report of a home is ignored")
 	}
 	if len(*changes) != 1 {
-		t.Errorf("%d changes are told on, want that of the answer alone", len(*changes))
+		t.Errorf("%d changes are reported, want that of the answer alone", len(*changes))
 	}
 }
 
-// TestEachChangeOfALimitIsLogged has a box hear of a limit from a home before an answer names it.
+// TestEachChangeOfALimitIsLogged lets a box learn a limit from a home and from an
+// endpoint's answer, in either order.
 func TestEachChangeOfALimitIsLogged(t *testing.T) {
-	told := func(k *Keeper, l pace.Limit) {
+	answered := func(k *Keeper, l pace.Limit) {
 		k.Answered(Answered{Endpoint: "e", Notice: pace.Notice{Limit: l}, Served: true})
 	}
-	heard := func(k *Keeper, l pace.Limit) { k.Heard([]schedule.EngineLimit{{Engine: "e", Limit: l}}) }
+	reported := func(k *Keeper, l pace.Limit) { k.Heard([]schedule.EngineLimit{{Engine: "e", Limit: l}}) }
 	cases := map[string]struct {
-		happens []func(k *Keeper, l pace.Limit)
-		want    []string
+		events []func(k *Keeper, l pace.Limit)
+		want   []string
 	}{
-		"told, then heard": {happens: []func(*Keeper, pace.Limit){told, heard}, want: []string{"endpoint_limit_told"}},
-		"heard, then told": {happens: []func(*Keeper, pace.Limit){heard, told}, want: []string{"endpoint_limit_heard"}},
-		"heard twice":      {happens: []func(*Keeper, pace.Limit){heard, heard}, want: []string{"endpoint_limit_heard"}},
-		"told twice":       {happens: []func(*Keeper, pace.Limit){told, told}, want: []string{"endpoint_limit_told"}},
+		"answered, then reported": {events: []func(*Keeper, pace.Limit){answered, reported}, want: []string{"endpoint_limit_told"}},
+		"reported, then answered": {events: []func(*Keeper, pace.Limit){reported, answered}, want: []string{"endpoint_limit_heard"}},
+		"reported twice":          {events: []func(*Keeper, pace.Limit){reported, reported}, want: []string{"endpoint_limit_heard"}},
+		"answered twice":          {events: []func(*Keeper, pace.Limit){answered, answered}, want: []string{"endpoint_limit_told"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -107,8 +109,8 @@
 			}
 			now := time.Unix(1000, 0)
 			k := New(Config{Log: logger, Now: func() time.Time { now = now.Add(time.Second); return now }})
-			for _, happens := range c.happens {
-				happens(k, three)
+			for _, event := range c.events {
+				event(k, three)
 			}
 			if got := messages(out.String()); !slices.Equal(got, c.want) {
 				t.Errorf("logged %v, want %v", got, c.want)
@@ -117,7 +119,7 @@
 	}
 }
 
-// messages are the names of the lines of a log.
+// messages returns the event names in a log.
 func messages(text string) []string {
 	var out []string
 	for line := range strings.Lines(text) {
@@ -129,13 +131,13 @@
 	return out
 }
 
-// step is an answer, or a passage of time.
+// step is an answer, after some time has passed.
 type step struct {
 	notice pace.Notice
 	born   int64
-	// restarts says that the endpoint's name does not tell its starts apart.
+	// restarts is set if the endpoint's name doesn't distinguish its starts.
 	restarts bool
-	// after is the time before it.
+	// after is the time that passes before the answer.
 	after time.Duration
 }
 
@@ -143,7 +145,7 @@
 	leaving, resting := pace.Notice{Leaving: true}, pace.Notice{Rest: 3 * time.Second}
 	cases := map[string]struct {
 		steps []step
-		// after is the time since the last step, and born the start that is known by then.
+		// after is the time since the last step, and born the start known by then.
 		after time.Duration
 		born  int64
 		want  Standing
@@ -152,15 +154,15 @@
 		"leaves":                         {steps: []step{{notice: leaving}}, want: Standing{Leaving: true}},
 		"leaves, a later answer is bare": {steps: []step{{notice: leaving}, {}}, after: time.Hour, want: Standing{Leaving: true}},
 		"left, and started again":        {steps: []step{{notice: leaving, born: 1}}, born: 2},
-		"may have started again":         {steps: []step{{notice: leaving, restarts: true}}, after: restartTime},
-		"has hardly started again":       {steps: []step{{notice: leaving, restarts: true}}, after: restartTime - 1, want: Standing{Leaving: true}},
+		"may have started again":         {steps: []step{{notice: leaving, restarts: true}}, after: leavingTimeout},
+		"has hardly started again":       {steps: []step{{notice: leaving, restarts: true}}, after: leavingTimeout - 1, want: Standing{Leaving: true}},
 		"rests":                          {steps: []step{{notice: resting}}, after: time.Second, want: Standing{Rest: 2 * time.Second}},
 		"has rested":                     {steps: []step{{notice: resting}}, after: 3 * time.Second},
 		"rests, a later answer is bare":  {steps: []step{{notice: resting}, {after: time.Second}}, want: Standing{Rest: 2 * time.Second}},
 		"asks for less while it rests":   {steps: []step{{notice: resting}, {notice: pace.Notice{Rest: time.Second}}}, want: Standing{Rest: 3 * time.Second}},
 		"rests, and started again":       {steps: []step{{notice: resting, born: 1}}, born: 2},
 		"rests, then leaves":             {steps: []step{{notice: resting}, {notice: leaving}}, want: Standing{Leaving: true, Rest: 3 * time.Second}},
-		"wants more than anybody can":    {steps: []step{{notice: pace.Notice{Rest: 1 << 62}}}, want: Standing{Rest: maxRest}},
+		"wants more than can be stored":  {steps: []step{{notice: pace.Notice{Rest: 1 << 62}}}, want: Standing{Rest: maxRest}},
 		"a limit beside":                 {steps: []step{{notice: pace.Notice{Leaving: true, Limit: three}}}, want: Standing{Leaving: true}},
 	}
 	for name, c := range cases {
@@ -186,47 +188,47 @@
 	}
 }
 
-// TestClosedEndpointsAreKept has more endpoints name limits than are kept.
+// TestClosedEndpointsAreKept lets more endpoints name limits than entries are kept.
 func TestClosedEndpointsAreKept(t *testing.T) {
 	now := time.Unix(0, 0)
-	k, _ := keeper(&now)
+	k, _ := newKeeper(&now)
 	k.Answered(Answered{Endpoint: "leaves", Notice: pace.Notice{Leaving: true}})
-	for i := range 2 * maxKnown {
+	for i := range 2 * maxEntries {
 		now = now.Add(time.Second)
 		k.Answered(Answered{Endpoint: fmt.Sprintf("e%d", i), Notice: pace.Notice{Limit: three}})
 	}
-	if len(k.known) != maxKnown || k.Standing("leaves").Open() {
-		t.Errorf("%d are kept, the endpoint that leaves is open: %v", len(k.known), k.Standing("leaves").Open())
+	if len(k.entries) != maxEntries || k.Standing("leaves").Open() {
+		t.Errorf("%d are kept, the endpoint that leaves is open: %v", len(k.entries), k.Standing("leaves").Open())
 	}
 }
 
-func TestKnownIsBounded(t *testing.T) {
+func TestEntriesAreBounded(t *testing.T) {
 	now := time.Unix(0, 0)
-	k, _ := keeper(&now)
+	k, _ := newKeeper(&now)
 	var all []string
-	for i := range maxKnown + 1 {
+	for i := range maxEntries + 1 {
 		now = now.Add(time.Second)
 		all = append(all, fmt.Sprintf("e%d", i))
 		k.Answered(Answered{Endpoint: all[i], Notice: pace.Notice{Limit: three}})
 	}
-	if len(k.known) != maxKnown || k.Limited(all[0]) || !k.Limited(all[1]) {
-		t.Errorf("%d are kept, the oldest among them: %v", len(k.known), k.Limited(all[0]))
+	if len(k.entries) != maxEntries || k.Limited(all[0]) || !k.Limited(all[1]) {
+		t.Errorf("%d are kept, the oldest among them: %v", len(k.entries), k.Limited(all[0]))
 	}
-	group, told := members(all[1:2*maxTold+1]...), make(map[string]bool)
-	for turn := range uint64(3 * maxTold) {
+	group, sent := members(all[1:2*maxSentLimits+1]...), make(map[string]bool)
+	for turn := range uint64(3 * maxSentLimits) {
 		some := k.Limits(group, turn)
-		if len(some) != maxTold {
-			t.Fatalf("%d go with a question, want %d", len(some), maxTold)
+		if len(some) != maxSentLimits {
+			t.Fatalf("%d go with a question, want %d", len(some), maxSentLimits)
 		}
 		for _, l := range some {
-			told[l.Engine] = true
+			sent[l.Engine] = true
 		}
 	}
-	if len(told) != len(group) {
-		t.Errorf("%d of %d are told in turn", len(told), len(group))
+	if len(sent) != len(group) {
+		t.Errorf("%d of %d are sent over the turns", len(sent), len(group))
 	}
 	if got := k.Limits(members("e2", "other"), 0); len(got) != 1 || got[0].Age != now.Sub(time.Unix(3, 0)) {
-		t.Errorf("of another group %+v is told", got)
+		t.Errorf("limits sent for another group: %+v", got)
 	}
 }
 
