--- a/coordination/cleanup/cleanup.go
+++ b/coordination/cleanup/cleanup.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package cleanup frees what engines hold for attempts that are over, and
-// tries again until each engine has acknowledged.
+// Package cleanup frees what engines hold for attempts that are over, and retries until
+// each engine has acknowledged.
 package cleanup
 
 import (
@@ -18,12 +18,12 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Engine is the one call that cleaning up needs.
+// Engine is the engine call that a Releaser makes.
 type Engine interface {
 	Release(ctx context.Context, e table.Endpoint, attempt string) error
 }
 
-// Hold is what has to be freed.
+// Hold is engine memory that has to be freed.
 type Hold struct {
 	Endpoint table.Endpoint
 	Attempt  string
@@ -32,17 +32,17 @@
 // Config configures a Releaser.
 type Config struct {
 	Engine Engine
-	// Known says whether the endpoint is still in the table; one that is not
-	// is given up. Nil means always.
+	// Known reports whether the endpoint is still in the table; holds on other endpoints are
+	// abandoned. Nil stands for always.
 	Known func(endpoint string) bool
-	// Workers is how many releases run at once.
+	// Workers is the number of releases that run at once.
 	Workers int
-	// Queue bounds what waits for its first try.
+	// Queue bounds the number of holds that wait for their first try.
 	Queue int
 	// CallTimeout bounds one call.
 	CallTimeout time.Duration
-	// GiveUp bounds the tries; the engine's own expiry and the homes' search
-	// for orphans free what is left by then.
+	// GiveUp bounds the time of all retries; after it the engine's own expiry and the homes'
+	// search for orphans free the hold.
 	GiveUp time.Duration
 	Log    log.Logger
 }
@@ -52,20 +52,20 @@
 	defaultQueue       = 8192
 	defaultCallTimeout = time.Second
 	defaultGiveUp      = time.Minute
-	firstPause         = 20 * time.Millisecond
-	longestPause       = time.Second
+	initialBackoff     = 20 * time.Millisecond
+	maxBackoff         = time.Second
 )
 
 // Releaser frees holds until they are acknowledged.
 type Releaser struct {
 	cfg Config
-	// queue has pointers: the room for all that it may hold is made at once.
+	// queue holds pointers because the ring allocates its whole capacity at once.
 	queue   *ring.Ring[*Hold]
 	mutex   sync.Mutex
 	pending map[Hold]struct{}
 }
 
-// New makes a releaser; Run starts it.
+// New returns a Releaser; Run starts it.
 func New(cfg Config) *Releaser {
 	if cfg.Workers <= 0 {
 		cfg.Workers = defaultWorkers
@@ -82,32 +82,32 @@
 	return &Releaser{cfg: cfg, queue: ring.New[*Hold](cfg.Queue), pending: make(map[Hold]struct{})}
 }
 
-// Release queues a hold. Full means that the engine's own expiry and the
-// search for orphans have to free it.
+// Release queues a hold, unless it is pending already. If it returns ring.Full, the
+// engine's own expiry and the search for orphans have to free the hold.
 func (r *Releaser) Release(h Hold) ring.Outcome {
 	r.mutex.Lock()
-	_, twice := r.pending[h]
+	_, queued := r.pending[h]
 	r.pending[h] = struct{}{}
 	r.mutex.Unlock()
-	if twice {
+	if queued {
 		return ring.Accepted
 	}
 	outcome := r.queue.Offer(&h)
 	if outcome == ring.Full {
-		r.forget(h)
+		r.removePending(h)
 		r.cfg.Log.WithFields(log.Fields{log.FieldEngine: h.Endpoint.Name, log.FieldAttempt: h.Attempt}).Warn("release_queue_full")
 	}
 	return outcome
 }
 
-// Pending is the number of holds not yet acknowledged.
+// Pending returns the number of holds that are not yet acknowledged.
 func (r *Releaser) Pending() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.pending)
 }
 
-// Run is the duty. It ends with the context.
+// Run frees queued holds until the context ends.
 func (r *Releaser) Run(ctx context.Context) error {
 	var workers errgroup.Group
 	for range r.cfg.Workers {
@@ -130,39 +130,39 @@
 	}
 }
 
-// free tries the first time at once; later tries wait in a goroutine of their
-// own so that one sick engine does not hold up the others.
+// free makes the first try at once and retries in a separate goroutine, so that one
+// failing engine doesn't delay the others.
 func (r *Releaser) free(ctx context.Context, h Hold) {
-	if r.try(ctx, h) == nil {
-		r.forget(h)
+	if r.releaseOnce(ctx, h) == nil {
+		r.removePending(h)
 		return
 	}
 	go r.retryUntilFreed(ctx, h)
 }
 
 func (r *Releaser) retryUntilFreed(ctx context.Context, h Hold) {
-	defer r.forget(h)
+	defer r.removePending(h)
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = firstPause
-	pauses.MaxInterval = longestPause
+	pauses.InitialInterval = initialBackoff
+	pauses.MaxInterval = maxBackoff
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		if r.cfg.Known != nil && !r.cfg.Known(h.Endpoint.Name) {
 			return struct{}{}, nil
 		}
-		return struct{}{}, r.try(ctx, h)
+		return struct{}{}, r.releaseOnce(ctx, h)
 	}, backoff.WithBackOff(pauses), backoff.WithMaxElapsedTime(r.cfg.GiveUp))
 	if err != nil {
 		r.cfg.Log.WithFields(log.Fields{log.FieldEngine: h.Endpoint.Name, log.FieldAttempt: h.Attempt}).WithError(err).Warn("release_given_up")
 	}
 }
 
-func (r *Releaser) try(ctx context.Context, h Hold) error {
+func (r *Releaser) releaseOnce(ctx context.Context, h Hold) error {
 	call, cancel := context.WithTimeout(ctx, r.cfg.CallTimeout)
 	defer cancel()
 	return r.cfg.Engine.Release(call, h.Endpoint, h.Attempt)
 }
 
-func (r *Releaser) forget(h Hold) {
+func (r *Releaser) removePending(h Hold) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.pending, h)
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package registry keeps the platform's list of boxes true: this box is on it
-// while it runs, and boxes that have been gone for long are taken off by one of
-// the others. A box that stops leaves its entry, which it finds again if it
-// only restarts.
+// Package registry keeps the platform's list of boxes up to date: a box is on it while it
+// runs, and one of the others removes boxes that have been gone for long. A box that stops
+// leaves its entry on the list, and finds it again if it only restarts.
 package registry
 
 import (
@@ -21,12 +20,12 @@
 	"runridge.example/runridge/state/member"
 )
 
-// Platform keeps the list.
+// Platform stores the list.
 type Platform interface {
-	// Join puts a box on the list, in place of what stands under its name.
+	// Join puts a box on the list and replaces any entry of the same name.
 	Join(ctx context.Context, b adapter.Box) error
-	// Remove takes a box off the list if its entry still has the version; 0 is
-	// any. It returns adapter.ErrConflict if it has another.
+	// Remove removes a box from the list if its entry still has the version; 0 stands for
+	// any version. It returns adapter.ErrConflict if the entry has another version.
 	Remove(ctx context.Context, name string, version uint64) error
 }
 
@@ -34,86 +33,85 @@
 type Config struct {
 	Self     adapter.Box
 	Platform Platform
-	// Members is the view of the boxes, with the list as last read.
+	// Members returns the view of the boxes, with the list as last read.
 	Members func() members.Snapshot
-	// Ranked lists the boxes with duties in an order that all boxes agree on
-	// for a key.
+	// Ranked returns the boxes with duties in an order for the key that all boxes agree on.
 	Ranked func(key string) []string
 	Log    log.Logger
 }
 
 const (
-	callTimeout  = 2 * time.Second
-	firstPause   = 100 * time.Millisecond
-	longestPause = 2 * time.Second
-	// lookEvery is how often the list is compared with the boxes.
-	lookEvery = 5 * time.Second
-	// deadFor is how long a box has to be dead before it is taken off, and
-	// joinedFor how long after its entry was written a box trusts a list that
-	// lacks it: the list lags.
-	deadFor   = 20 * time.Second
-	joinedFor = 10 * time.Second
-	// firstList bounds the wait for the first reading of the list, and listLook is
-	// how often it is looked for.
-	firstList = time.Second
-	listLook  = 50 * time.Millisecond
+	callTimeout    = 2 * time.Second
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// reconcileInterval is how often the list is compared with the boxes.
+	reconcileInterval = 5 * time.Second
+	// removeDeadAfter is how long a box has to be dead before it is removed. rejoinDelay is
+	// how long after writing its entry a box ignores that the list lacks the entry, because
+	// the list lags behind.
+	removeDeadAfter = 20 * time.Second
+	rejoinDelay     = 10 * time.Second
+	// firstListTimeout bounds the wait for the first read of the list, and
+	// firstListPollInterval is how often the wait checks for it.
+	firstListTimeout      = time.Second
+	firstListPollInterval = 50 * time.Millisecond
 )
 
-// Keeper is the duty.
+// Keeper keeps the list up to date.
 type Keeper struct {
-	cfg    Config
-	joined time.Time
-	// dead is since when each listed box has been seen dead.
-	dead map[string]time.Time
+	cfg      Config
+	joinedAt time.Time
+	// deadSince maps a listed box to the time since when it has been seen dead.
+	deadSince map[string]time.Time
 }
 
-// New makes the duty; Run starts it.
+// New returns a Keeper; Run starts it.
 func New(cfg Config) *Keeper {
-	return &Keeper{cfg: cfg, dead: make(map[string]time.Time)}
+	return &Keeper{cfg: cfg, deadSince: make(map[string]time.Time)}
 }
 
-// Run keeps the list true until the context ends.
+// Run keeps the list up to date until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	if !k.standsListed(ctx) {
+	if !k.hasCurrentEntry(ctx) {
 		k.join(ctx)
 	}
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			k.look(ctx, time.Now())
+			k.reconcile(ctx, time.Now())
 		}
 	}
 }
 
-// standsListed waits for the first reading of the list and says whether this
-// box's entry stands on it as it is. It does after a restart: a rolling restart
-// of all boxes would otherwise cost the platform two writes for each.
-func (k *Keeper) standsListed(ctx context.Context) bool {
-	for waited := time.Duration(0); waited < firstList && ctx.Err() == nil; waited += listLook {
+// hasCurrentEntry waits for the first read of the list and reports whether this box's
+// entry on it is current. After a restart it is: otherwise a rolling restart of all boxes
+// would cost the platform two writes for each box.
+func (k *Keeper) hasCurrentEntry(ctx context.Context) bool {
+	for waited := time.Duration(0); waited < firstListTimeout && ctx.Err() == nil; waited += firstListPollInterval {
 		if listed := k.cfg.Members().Listed; listed != nil {
 			entry, found := listed[k.cfg.Self.Name]
 			return found && entry.Address == k.cfg.Self.Address && entry.Zone == k.cfg.Self.Zone && entry.Wire == k.cfg.Self.Wire
 		}
-		sleep.For(ctx, listLook)
+		sleep.For(ctx, firstListPollInterval)
 	}
 	return false
 }
 
-// join puts this box on the list and keeps trying until it is.
+// join puts this box on the list, with retries until it succeeds or the context ends.
 func (k *Keeper) join(ctx context.Context) {
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = firstPause
-	pauses.MaxInterval = longestPause
+	pauses.InitialInterval = initialBackoff
+	pauses.MaxInterval = maxBackoff
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err := k.cfg.Platform.Join(call, k.cfg.Self)
 		cancel()
 		if err == nil {
-			k.joined = time.Now()
+			k.joinedAt = time.Now()
 			k.cfg.Log.Info("box_registered")
 			return
 		}
@@ -122,10 +120,11 @@
 	}
 }
 
-// look compares the list with the boxes once.
-func (k *Keeper) look(ctx context.Context, now time.Time) {
+// reconcile compares the list with the boxes once: it puts this box back on the list if it
+// is missing, and removes dead boxes if this box is the first in rank.
+func (k *Keeper) reconcile(ctx context.Context, now time.Time) {
 	view := k.cfg.Members()
-	if _, listed := view.Listed[k.cfg.Self.Name]; !listed && len(view.Listed) > 0 && now.Sub(k.joined) >= joinedFor {
+	if _, listed := view.Listed[k.cfg.Self.Name]; !listed && len(view.Listed) > 0 && now.Sub(k.joinedAt) >= rejoinDelay {
 		k.join(ctx)
 	}
 	overdue := k.overdue(now, view)
@@ -137,8 +136,8 @@
 	}
 }
 
-// overdue notes which listed boxes are dead and returns those that have been
-// for long.
+// overdue records which listed boxes are dead, and returns the entries of those that have
+// been dead for removeDeadAfter.
 func (k *Keeper) overdue(now time.Time, view members.Snapshot) []adapter.Box {
 	dead := make(map[string]time.Time)
 	var out []adapter.Box
@@ -147,25 +146,25 @@
 		if !listed || b.State != member.Dead || b.Address != entry.Address {
 			continue
 		}
-		since, seen := k.dead[b.Name]
+		since, seen := k.deadSince[b.Name]
 		if !seen {
 			since = now
 		}
 		dead[b.Name] = since
-		if now.Sub(since) >= deadFor {
+		if now.Sub(since) >= removeDeadAfter {
 			out = append(out, entry)
 		}
 	}
-	k.dead = dead
+	k.deadSince = dead
 	return out
 }
 
-// remove takes a dead box off the list, unless it has written its entry anew.
+// remove removes a dead box from the list, unless it has rewritten its entry.
 func (k *Keeper) remove(ctx context.Context, b adapter.Box) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := k.cfg.Platform.Remove(call, b.Name, b.Version)
-	fields := log.Fields{"peer": b.Name, "version": b.Version, "dead_ms": time.Since(k.dead[b.Name]).Milliseconds()}
+	fields := log.Fields{"peer": b.Name, "version": b.Version, "dead_ms": time.Since(k.deadSince[b.Name]).Milliseconds()}
 	switch {
 	case err == nil:
 		k.cfg.Log.WithFields(fields).Info("dead_box_unregistered")
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -16,15 +16,15 @@
 	"runridge.example/runridge/state/member"
 )
 
-// list is the platform's list in memory.
-type list struct {
+// memoryList is the platform's list in memory.
+type memoryList struct {
 	entries map[string]adapter.Box
 	version uint64
 	joins   int
 }
 
-func newList(names ...string) *list {
-	l := &list{entries: make(map[string]adapter.Box)}
+func newList(names ...string) *memoryList {
+	l := &memoryList{entries: make(map[string]adapter.Box)}
 	for _, name := range names {
 		_ = l.Join(context.Background(), adapter.Box{Name: name, Address: name})
 	}
@@ -32,7 +32,7 @@
 	return l
 }
 
-func (l *list) Join(_ context.Context, b adapter.Box) error {
+func (l *memoryList) Join(_ context.Context, b adapter.Box) error {
 	l.version++
 	l.joins++
 	b.Version = l.version
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func (l *list) Remove(_ context.Context, name string, version uint64) error {
+func (l *memoryList) Remove(_ context.Context, name string, version uint64) error {
 	if version > 0 && l.entries[name].Version != version {
 		return adapter.ErrConflict
 	}
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// keeper is that of box a beside box b, which is dead.
-func keeper(l *list, order []string, listed func() map[string]adapter.Box) *Keeper {
+// newKeeper returns the Keeper of box a, which sees box b as dead.
+func newKeeper(l *memoryList, order []string, listed func() map[string]adapter.Box) *Keeper {
 	view := func() members.Snapshot {
 		return members.Snapshot{
 			All:    []member.Box{{Name: "a", Address: "a"}, {Name: "b", Address: "b", State: member.Dead}},
@@ -69,16 +69,16 @@
 	cases := map[string]struct {
 		order []string
 		wait  time.Duration
-		// again writes the dead box's entry anew after the list was read; moved
-		// gives it another address there.
+		// again rewrites the dead box's entry after the list was read; moved gives the box
+		// another address on the list.
 		again, moved bool
 		want         []string
 	}{
 		"dead for long":            {order: []string{"a"}, wait: 40 * time.Second, want: []string{"a"}},
 		"dead for a short time":    {order: []string{"a"}, wait: 15 * time.Second, want: []string{"a", "b"}},
-		"another box does it":      {order: []string{"c", "a"}, wait: 40 * time.Second, want: []string{"a", "b"}},
-		"it has written anew":      {order: []string{"a"}, wait: 40 * time.Second, again: true, want: []string{"a", "b"}},
-		"it is elsewhere now":      {order: []string{"a"}, wait: 40 * time.Second, moved: true, want: []string{"a", "b"}},
+		"another box removes it":   {order: []string{"c", "a"}, wait: 40 * time.Second, want: []string{"a", "b"}},
+		"it has rejoined":          {order: []string{"a"}, wait: 40 * time.Second, again: true, want: []string{"a", "b"}},
+		"it has moved":             {order: []string{"a"}, wait: 40 * time.Second, moved: true, want: []string{"a", "b"}},
 		"no box knows the others ": {wait: 40 * time.Second, want: []string{"a", "b"}},
 	}
 	for name, c := range cases {
@@ -92,8 +92,8 @@
 				if c.again {
 					_ = l.Join(t.Context(), adapter.Box{Name: "b", Address: "b"})
 				}
-				k := keeper(l, c.order, func() map[string]adapter.Box { return read })
-				run(t, k, c.wait)
+				k := newKeeper(l, c.order, func() map[string]adapter.Box { return read })
+				runFor(t, k, c.wait)
 				var got []string
 				for name := range l.entries {
 					got = append(got, name)
@@ -115,10 +115,10 @@
 		"not on the list":     {listed: map[string]adapter.Box{"b": {Name: "b"}}, joins: 3},
 		"on the list":         {listed: map[string]adapter.Box{"a": {Name: "a"}}, joins: 1},
 		"list never read yet": {joins: 1},
-		"there since before the start": {
+		"listed since before the start": {
 			listed: map[string]adapter.Box{"a": {Name: "a", Address: "a"}},
 		},
-		"there with another address": {
+		"listed with another address": {
 			listed: map[string]adapter.Box{"a": {Name: "a", Address: "elsewhere"}},
 			joins:  1,
 		},
@@ -127,8 +127,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := newList("b")
-				k := keeper(l, nil, func() map[string]adapter.Box { return c.listed })
-				run(t, k, 22*time.Second)
+				k := newKeeper(l, nil, func() map[string]adapter.Box { return c.listed })
+				runFor(t, k, 22*time.Second)
 				if l.joins != c.joins {
 					t.Errorf("joined %d times, want %d", l.joins, c.joins)
 				}
@@ -137,8 +137,8 @@
 	}
 }
 
-// run lets the duty run for a time.
-func run(t *testing.T, k *Keeper, d time.Duration) {
+// runFor runs a Keeper for a while.
+func runFor(t *testing.T, k *Keeper, d time.Duration) {
 	t.Helper()
 	ctx, end := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/coordination/watch/watch.go
+++ b/coordination/watch/watch.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package watch looks after the engines of the groups that this box is home
-// of: it reads their load and cache events, and finds what they hold for
-// requests whose box is gone.
+// Package watch polls the engines of the groups that this box is home of: it reads their
+// load and cache events, and frees what they hold for requests whose box is gone.
 package watch
 
 import (
@@ -24,24 +23,24 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Engine is what the watch asks of an engine.
+// Engine is the set of engine calls that a Watch makes.
 type Engine interface {
 	Holds(ctx context.Context, e table.Endpoint) ([]adapter.Hold, error)
 	Load(ctx context.Context, e table.Endpoint) (adapter.Load, error)
 	Events(ctx context.Context, e table.Endpoint, after uint64) (adapter.Events, error)
 }
 
-// Homes takes what was learned to the groups of this box.
+// Homes receives what was read, for the groups that this box is home of.
 type Homes interface {
 	Offer(c home.Command) ring.Outcome
 }
 
-// Checker asks a box about its attempts.
+// Checker asks a box whether its attempts still run.
 type Checker interface {
 	Check(box, group, engine string, ids []lifecycle.AttemptID)
 }
 
-// Owners says what is known of the box that a hold's request is on.
+// Owners returns what is known of the box that owns a hold's request.
 type Owners interface {
 	Of(ctx context.Context, id lifecycle.RequestID) owner.Verdict
 }
@@ -51,45 +50,46 @@
 	Release(h cleanup.Hold) ring.Outcome
 }
 
-// Config configures the duty.
+// Config configures a Watch.
 type Config struct {
 	Engine   Engine
 	Homes    Homes
 	Checker  Checker
 	Owners   Owners
 	Releaser Releaser
-	// Every is the time between two looks at an engine.
+	// Every is the interval between polls of an engine; 0 is defaultEvery.
 	Every time.Duration
-	// Young is the age under which a hold is not questioned.
+	// Young is the age below which a hold isn't checked; 0 is defaultYoung.
 	Young time.Duration
 	Log   log.Logger
 }
 
 const (
-	defaultEvery = time.Second
-	defaultYoung = 1500 * time.Millisecond
-	parallel     = 16
+	defaultEvery     = time.Second
+	defaultYoung     = 1500 * time.Millisecond
+	maxParallelPolls = 16
 )
 
-// watched is an engine under watch.
-type watched struct {
+// watchedEngine is an engine under watch.
+type watchedEngine struct {
 	group    string
 	endpoint table.Endpoint
-	// position is where to read cache events on.
+	// position is the position from which to read cache events, and started is set once they
+	// have been read.
 	position uint64
 	started  bool
 }
 
-// Watch is the duty.
+// Watch polls engines.
 type Watch struct {
 	cfg   Config
 	wake  chan struct{}
 	mutex sync.Mutex
-	// engines is by group and engine name.
-	engines map[string]map[string]*watched
+	// engines is keyed by group and engine name.
+	engines map[string]map[string]*watchedEngine
 }
 
-// New makes the duty; Run starts it.
+// New returns a Watch; Run starts it.
 func New(cfg Config) *Watch {
 	if cfg.Every <= 0 {
 		cfg.Every = defaultEvery
@@ -100,11 +100,12 @@
 	return &Watch{
 		cfg:     cfg,
 		wake:    make(chan struct{}, 1),
-		engines: make(map[string]map[string]*watched),
+		engines: make(map[string]map[string]*watchedEngine),
 	}
 }
 
-// Set replaces the engines watched for a group; none ends its watch.
+// Set replaces the engines watched for a group; with no engines the watch of the group
+// ends.
 func (w *Watch) Set(group string, engines []table.Endpoint) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -112,22 +113,22 @@
 	delete(w.engines, group)
 	for _, e := range engines {
 		if w.engines[group] == nil {
-			w.engines[group] = make(map[string]*watched)
+			w.engines[group] = make(map[string]*watchedEngine)
 		}
-		next := &watched{group: group, endpoint: e}
+		next := &watchedEngine{group: group, endpoint: e}
 		if before := old[e.Name]; before != nil && before.endpoint.Address == e.Address {
 			next.position, next.started = before.position, before.started
 		}
 		w.engines[group][e.Name] = next
 	}
-	// A group that was just taken over cannot wait for the next round.
+	// A group that was just taken over can't wait for the next poll.
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run is the duty. It ends with the context.
+// Run polls the engines until the context ends.
 func (w *Watch) Run(ctx context.Context) error {
 	tick := time.NewTicker(w.cfg.Every)
 	defer tick.Stop()
@@ -138,52 +139,52 @@
 		case <-tick.C:
 		case <-w.wake:
 		}
-		w.round(ctx)
+		w.pollAll(ctx)
 	}
 }
 
-// round looks at every engine once.
-func (w *Watch) round(ctx context.Context) {
+// pollAll polls every engine once.
+func (w *Watch) pollAll(ctx context.Context) {
 	w.mutex.Lock()
-	var all []*watched
+	var all []*watchedEngine
 	for _, group := range w.engines {
 		for _, e := range group {
 			all = append(all, e)
 		}
 	}
 	w.mutex.Unlock()
-	var looks errgroup.Group
-	looks.SetLimit(parallel)
+	var polls errgroup.Group
+	polls.SetLimit(maxParallelPolls)
 	for _, e := range all {
-		looks.Go(func() error {
+		polls.Go(func() error {
 			call, cancel := context.WithTimeout(ctx, w.cfg.Every)
 			defer cancel()
-			w.look(call, e)
+			w.pollEngine(call, e)
 			return nil
 		})
 	}
-	_ = looks.Wait()
+	_ = polls.Wait()
 }
 
-// look reads one engine. An engine that does not answer is left as it was
-// thought to be; failed orders, not failed looks, eject it.
-func (w *Watch) look(ctx context.Context, e *watched) {
+// pollEngine reads one engine. An engine that doesn't answer keeps its last known state:
+// failed orders eject it, failed polls don't.
+func (w *Watch) pollEngine(ctx context.Context, e *watchedEngine) {
 	name := e.endpoint.Name
 	if load, err := w.cfg.Engine.Load(ctx, e.endpoint); err == nil {
-		w.tell(e.group, schedule.Load{Engine: name, Held: load.Held, KVTokens: load.KVTokens})
+		w.offer(e.group, schedule.Load{Engine: name, Held: load.Held, KVTokens: load.KVTokens})
 	}
 	w.readEvents(ctx, e)
 	if holds, err := w.cfg.Engine.Holds(ctx, e.endpoint); err == nil {
-		w.question(ctx, e, holds)
+		w.checkHolds(ctx, e, holds)
 	}
 }
 
-func (w *Watch) tell(group string, body home.Body) {
-	// An update that finds no room comes again with the next look.
+func (w *Watch) offer(group string, body home.Body) {
+	// An update that doesn't fit into the queue is repeated by the next poll.
 	_ = w.cfg.Homes.Offer(home.Command{Group: group, Body: body})
 }
 
-func (w *Watch) readEvents(ctx context.Context, e *watched) {
+func (w *Watch) readEvents(ctx context.Context, e *watchedEngine) {
 	page, err := w.cfg.Engine.Events(ctx, e.endpoint, e.position)
 	if err != nil {
 		return
@@ -192,37 +193,38 @@
 	e.started = true
 	e.position = page.Next
 	if first {
-		// What was dropped before this box began to watch, it never knew of.
+		// This box never knew of prefixes that were evicted before it began to watch.
 		return
 	}
 	if page.Gap || len(page.Evicted) > 0 {
-		w.tell(e.group, home.Evicted{Engine: e.endpoint.Name, Marks: page.Evicted, Gap: page.Gap})
+		w.offer(e.group, home.Evicted{Engine: e.endpoint.Name, Marks: page.Evicted, Gap: page.Gap})
 	}
 }
 
-// question sorts out the holds whose request may be gone.
-func (w *Watch) question(ctx context.Context, e *watched, holds []adapter.Hold) {
-	asks := make(map[string][]lifecycle.AttemptID)
+// checkHolds releases the holds whose box is gone, and asks the boxes that can be reached
+// about the others.
+func (w *Watch) checkHolds(ctx context.Context, e *watchedEngine, holds []adapter.Hold) {
+	attempts := make(map[string][]lifecycle.AttemptID)
 	for _, h := range holds {
 		id, err := lifecycle.ParseAttemptID(h.Attempt)
 		if err != nil || time.Duration(h.AgeMS)*time.Millisecond < w.cfg.Young {
-			// What is not named by us is not ours to free.
+			// A hold that isn't named by an attempt ID belongs to somebody else.
 			continue
 		}
 		switch w.cfg.Owners.Of(ctx, id.Request) {
 		case owner.Gone:
 			w.release(e, h.Attempt)
 		case owner.There:
-			asks[id.Request.Box] = append(asks[id.Request.Box], id)
+			attempts[id.Request.Box] = append(attempts[id.Request.Box], id)
 		case owner.Silent:
 		}
 	}
-	for box, ids := range asks {
+	for box, ids := range attempts {
 		w.cfg.Checker.Check(box, e.group, e.endpoint.Name, ids)
 	}
 }
 
-func (w *Watch) release(e *watched, attempt string) {
+func (w *Watch) release(e *watchedEngine, attempt string) {
 	w.cfg.Log.WithFields(log.Fields{log.FieldEngine: e.endpoint.Name, log.FieldAttempt: attempt}).Info("orphan_released")
 	_ = w.cfg.Releaser.Release(cleanup.Hold{Endpoint: e.endpoint, Attempt: attempt})
 }
--- a/tests/mutants/shared.go
+++ b/tests/mutants/shared.go
@@ -162,7 +162,7 @@
 	},
 	{
 		name: "entry_written_at_each_start", file: registryFile, pkg: registryTests, args: only("TestBoxThatIsMissingJoinsAgain"),
-		old: "	if !k.standsListed(ctx) {\n", fault: "	if true {\n",
+		old: "	if !k.hasCurrentEntry(ctx) {\n", fault: "	if true {\n",
 	},
 	{
 		name: "dead_box_whatever_it_wrote", file: registryFile, pkg: registryTests, args: only("TestDeadBoxesAreTakenOff"),
