--- a/transport/callerhttp/complete.go
+++ b/transport/callerhttp/complete.go
@@ -18,7 +18,7 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// exchange is one completions request being answered.
+// exchange is a completions request and the state of its answer.
 type exchange struct {
 	s       *Server
 	call    *dispatch.Call
@@ -30,7 +30,7 @@
 	created int64
 }
 
-// complete answers a completions request.
+// complete serves a completions request of the chat or the text API.
 func (s *Server) complete(ctx *fasthttp.RequestCtx, chat bool) {
 	hold := s.hold(ctx)
 	body, request, status, err := s.request(ctx, hold, chat)
@@ -57,18 +57,18 @@
 		return
 	}
 	defer x.finish()
-	x.whole(ctx)
+	x.respond(ctx)
 }
 
-// finish gives back what the exchange took.
+// finish stops the watch, releases the held body and ends the count as active.
 func (x *exchange) finish() {
 	x.watch.stop()
 	x.hold.Close()
 	x.s.active.Add(-1)
 }
 
-// final waits for the end; the dispatcher ends every request.
-func (x *exchange) final() dispatch.Answer {
+// outcome waits for the final answer. It doesn't wait forever: the dispatcher ends every request.
+func (x *exchange) outcome() dispatch.Answer {
 	a, err := x.call.Answer(context.Background())
 	if err != nil {
 		panic(err)
@@ -76,13 +76,13 @@
 	return a
 }
 
-// whole answers in one piece.
-func (x *exchange) whole(ctx *fasthttp.RequestCtx) {
+// respond answers with one JSON document.
+func (x *exchange) respond(ctx *fasthttp.RequestCtx) {
 	var text strings.Builder
 	for t := range x.call.Tokens {
 		text.WriteString(t)
 	}
-	a := x.final()
+	a := x.outcome()
 	if a.Phase != lifecycle.Finished {
 		x.refuse(ctx, a)
 		return
@@ -104,7 +104,7 @@
 	stop := finishReason(a.Tokens, x.request.OutputTokens)
 	choice, object := callerapi.Choice{Text: text, FinishReason: &stop}, "text_completion"
 	if x.chat {
-		choice.Text, choice.Message = "", assistant(text)
+		choice.Text, choice.Message = "", assistantMessage(text)
 		object = "chat.completion"
 	}
 	c := x.envelope(object, choice)
@@ -116,11 +116,11 @@
 	return c
 }
 
-func assistant(text string) *callerapi.Message {
+func assistantMessage(text string) *callerapi.Message {
 	return &callerapi.Message{Role: "assistant", Content: text}
 }
 
-// envelope is what whole answers and pieces share.
+// envelope returns the fields that complete answers and stream chunks share.
 func (x *exchange) envelope(object string, choice callerapi.Choice) callerapi.Completion {
 	return callerapi.Completion{
 		ID:      x.call.ID.String(),
@@ -131,66 +131,68 @@
 	}
 }
 
-// finishReason tells an answer that ended by itself from one at its bound.
-func finishReason(tokens, most int) string {
-	if tokens >= most {
+// finishReason returns "length" for an answer that reached its token limit, otherwise "stop".
+func finishReason(tokens, limit int) string {
+	if tokens >= limit {
 		return "length"
 	}
 	return "stop"
 }
 
-// stream answers token by token. The status waits for the first token, so
-// that a refusal is a refusal and not an empty stream.
+// stream answers with one event for each token. The status is sent only with the first token,
+// so that a request without tokens gets a refusal instead of an empty stream.
 func (x *exchange) stream(ctx *fasthttp.RequestCtx) {
 	first, ok := <-x.call.Tokens
 	if !ok {
 		defer x.finish()
-		x.refuse(ctx, x.final())
+		x.refuse(ctx, x.outcome())
 		return
 	}
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-cache")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer x.finish()
-		x.write(w, first)
+		x.writeEvents(w, first)
 	})
 }
 
-// write sends the events of a stream.
-func (x *exchange) write(w *bufio.Writer, first string) {
-	ok := x.event(w, x.piece(first, nil))
+// writeEvents writes the events of a stream. If the caller is gone, it still reads the tokens to
+// the end.
+func (x *exchange) writeEvents(w *bufio.Writer, first string) {
+	ok := x.writeEvent(w, x.chunk(first, nil))
 	for t := range x.call.Tokens {
-		ok = ok && x.event(w, x.piece(t, nil))
+		ok = ok && x.writeEvent(w, x.chunk(t, nil))
 	}
-	a := x.final()
+	a := x.outcome()
 	if !ok {
 		return
 	}
 	if a.Phase != lifecycle.Finished {
-		// The status is sent already; the error is the stream's last event,
-		// and the end mark stays away.
+		// The status has been sent already, so the error is the last event of the
+		// stream, and [DONE] isn't sent.
 		_, body := refusalFor(x.call.ID, a)
-		x.event(w, callerapi.Refusal{Error: body})
+		x.writeEvent(w, callerapi.Refusal{Error: body})
 		return
 	}
 	stop := finishReason(a.Tokens, x.request.OutputTokens)
-	if x.event(w, x.piece("", &stop)) {
+	if x.writeEvent(w, x.chunk("", &stop)) {
 		_, _ = w.WriteString("data: [DONE]\n\n")
 		_ = w.Flush()
 	}
 }
 
-func (x *exchange) piece(text string, stop *string) callerapi.Completion {
+// chunk returns the event for a token; stop is the finish reason, nil before the last event.
+func (x *exchange) chunk(text string, stop *string) callerapi.Completion {
 	choice, object := callerapi.Choice{Text: text, FinishReason: stop}, "text_completion"
 	if x.chat {
-		choice.Text, choice.Delta = "", assistant(text)
+		choice.Text, choice.Delta = "", assistantMessage(text)
 		object = "chat.completion.chunk"
 	}
 	return x.envelope(object, choice)
 }
 
-// event sends one event and reports whether the caller is still there.
-func (x *exchange) event(w *bufio.Writer, v any) bool {
+// writeEvent sends one event and reports whether the caller is still connected.
+func (x *exchange) writeEvent(w *bufio.Writer, v any) bool {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
--- a/transport/callerhttp/gone.go
+++ b/transport/callerhttp/gone.go
@@ -12,17 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// goneWatch notices that a caller's connection has ended while its request is
-// served. The HTTP library does not tell; it reads the connection only between
-// requests, so until then the watch may look at it. It peeks and takes no
-// byte. A caller that shuts down its sending side counts as gone.
+// goneWatch detects that a caller's connection has ended while its request is served, which the
+// HTTP library doesn't report. The library reads the connection only between requests, so the
+// watch may use it until then. It only peeks and consumes no byte. A caller that shuts down its
+// sending side counts as gone.
 type goneWatch struct {
-	conn    net.Conn
+	conn net.Conn
+	// stopped is closed when the watch has ended.
 	stopped chan struct{}
 }
 
-// watchGone calls gone, once, when the connection ends before stop is called.
-// It does nothing for a connection that is not TCP.
+// watchGone starts a watch that calls gone, once, if the connection ends before stop is called.
+// It does nothing for connections other than TCP.
 func watchGone(conn net.Conn, gone func()) *goneWatch {
 	if t, ok := conn.(*tls.Conn); ok {
 		conn = t.NetConn()
@@ -45,19 +46,19 @@
 func (w *goneWatch) run(control syscall.RawConn, gone func()) {
 	defer close(w.stopped)
 	ended := false
-	// The function is called again each time that the poller sees news on the
-	// connection, as long as it returns false.
+	// As long as the function returns false, it is called again each time the connection
+	// becomes readable.
 	_ = control.Read(func(fd uintptr) bool {
 		ended = peerEnded(int(fd))
 		return ended
 	})
-	// Without the end seen, the wait itself was ended by stop's deadline.
+	// Otherwise the deadline that stop sets has ended the wait.
 	if ended {
 		gone()
 	}
 }
 
-// stop ends the watch and leaves the connection as it was.
+// stop ends the watch and clears the read deadline.
 func (w *goneWatch) stop() {
 	select {
 	case <-w.stopped:
@@ -68,9 +69,8 @@
 	_ = w.conn.SetReadDeadline(time.Time{})
 }
 
-// peerEnded says whether the other side has closed or reset the connection.
-// Bytes of a next request may wait unread before the end, so the connection's
-// own state is asked as well.
+// peerEnded reports whether the peer has closed or reset the connection. Unread bytes of a next
+// request may precede the close and hide it from the peek, so the TCP state is checked as well.
 func peerEnded(fd int) bool {
 	var one [1]byte
 	n, _, err := unix.Recvfrom(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -87,5 +87,5 @@
 	return info.State != tcpEstablished
 }
 
-// tcpEstablished is the kernel's number for an open connection.
+// tcpEstablished is TCP_ESTABLISHED of the Linux kernel.
 const tcpEstablished = 1
--- a/transport/callerhttp/gone_test.go
+++ b/transport/callerhttp/gone_test.go
@@ -11,8 +11,8 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// pair gives the two ends of a TCP connection.
-func pair(t *testing.T) (caller, box net.Conn) {
+// tcpPair returns the two ends of a TCP connection.
+func tcpPair(t *testing.T) (caller, box net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,15 +37,15 @@
 
 func TestGoneWatch(t *testing.T) {
 	convey.Convey("The watch fires when the caller has closed", t, func() {
-		caller, box := pair(t)
+		caller, box := tcpPair(t)
 		gone := make(chan struct{})
 		w := watchGone(box, func() { close(gone) })
 		convey.So(caller.Close(), convey.ShouldBeNil)
 		<-gone
 		w.stop()
 	})
-	convey.Convey("It fires for a caller who leaves behind bytes of a next request", t, func() {
-		caller, box := pair(t)
+	convey.Convey("It fires for a caller who closes after sending bytes of a next request", t, func() {
+		caller, box := tcpPair(t)
 		gone := make(chan struct{})
 		w := watchGone(box, func() { close(gone) })
 		_, err := io.WriteString(caller, "GET / HTTP/1.1\r\n")
@@ -54,8 +54,8 @@
 		<-gone
 		w.stop()
 	})
-	convey.Convey("Stopped in time it does not fire, and takes no byte", t, func() {
-		caller, box := pair(t)
+	convey.Convey("If stopped in time, it does not fire and consumes no byte", t, func() {
+		caller, box := tcpPair(t)
 		fired := false
 		w := watchGone(box, func() { fired = true })
 		w.stop()
--- a/transport/callerhttp/patient.go
+++ b/transport/callerhttp/patient.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// patientListener bounds how long each of its connections waits for a caller who does not
-// read. The HTTP library's own bound is one for a whole answer, which would end long streams.
-type patientListener struct{ net.Listener }
+// writeTimeoutListener limits how long its connections wait for a caller who does not read. The
+// HTTP library's write timeout covers a whole answer, which would end long streams.
+type writeTimeoutListener struct{ net.Listener }
 
-// Accept takes the next connection.
-func (l patientListener) Accept() (net.Conn, error) {
+// Accept returns the next connection.
+func (l writeTimeoutListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return patientConn{c}, nil
+	return writeTimeoutConn{c}, nil
 }
 
-// patientConn gives a caller writeTimeout for each writePiece bytes.
-type patientConn struct{ net.Conn }
+// writeTimeoutConn allows a caller writeTimeout for each writePiece bytes.
+type writeTimeoutConn struct{ net.Conn }
 
-// Write writes all, unless the caller stops reading.
-func (c patientConn) Write(p []byte) (int, error) {
+// Write writes all of p. It fails with a timeout if the caller stops reading.
+func (c writeTimeoutConn) Write(p []byte) (int, error) {
 	written := 0
 	for written < len(p) {
 		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -39,8 +39,8 @@
 	return written, nil
 }
 
-// SyscallConn is the connection itself, for the watch over its end.
-func (c patientConn) SyscallConn() (syscall.RawConn, error) {
+// SyscallConn returns the underlying connection, which goneWatch needs.
+func (c writeTimeoutConn) SyscallConn() (syscall.RawConn, error) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, syscall.EINVAL
--- a/transport/callerhttp/plain.go
+++ b/transport/callerhttp/plain.go
@@ -25,23 +25,24 @@
 	"runridge.example/runridge/transport/plainhttp"
 )
 
-// Plain sends calls to plain services.
+// Plain sends calls to endpoints of plain services.
 type Plain interface {
 	Do(ctx context.Context, e table.Endpoint, call plainhttp.Call) (*http.Response, error)
 }
 
-// maxKept is the largest body that is kept so that a call can be tried again,
-// in bytes. Larger ones are streamed and sent once.
+// maxKept is the largest body that is buffered so that a call can be retried, in bytes. Larger
+// ones are streamed and sent once.
 const maxKept = 64 << 10
 
-// idempotent are the methods that may be repeated unless the caller says no
-// (RFC 9110, section 9.2.2).
+// idempotent lists the methods that may be repeated unless the caller forbids it (RFC 9110,
+// section 9.2.2).
 var idempotent = []string{
 	fasthttp.MethodGet, fasthttp.MethodHead, fasthttp.MethodOptions,
 	fasthttp.MethodPut, fasthttp.MethodDelete, fasthttp.MethodTrace,
 }
 
-// route finds the plain service of a path: the one with the longest route.
+// route returns the plain service of a path: the one with the longest matching route. It
+// returns false if there is none.
 func (s *Server) route(path string) (table.Service, bool) {
 	var found table.Service
 	for _, service := range s.cfg.Tables.Table().Services {
@@ -53,32 +54,34 @@
 	return found, found.Name != ""
 }
 
-// passage is one plain call being passed on. The dispatcher's driver makes
-// the exchange with the endpoint; the handler hands its answer to the caller.
-type passage struct {
+// plainCall is a call to a plain service. The dispatcher's driver calls forward to exchange it
+// with an endpoint; the handler forwards the answer to the caller.
+type plainCall struct {
 	s    *Server
 	call plainhttp.Call
-	// kept is the body when it is small, to send it again, and hold its part of what the
-	// box holds.
+	// kept is the body if it is small enough to be sent again, otherwise nil.
 	kept []byte
+	// hold accounts for the body in the box's budget of held bytes.
 	hold *held.Hold
-	// begun is true once a streamed body has begun to flow.
-	begun   atomic.Bool
+	// begun is true once a streamed body has been used for an attempt.
+	begun atomic.Bool
+	// answers passes the endpoint's answer from forward to the handler, and copied the
+	// result of copying it to the caller back.
 	answers chan *http.Response
 	copied  chan error
 }
 
-// plain passes a call on.
+// plain serves a call to a plain service.
 func (s *Server) plain(ctx *fasthttp.RequestCtx, service table.Service) {
 	hold := s.hold(ctx)
-	p, r, err := s.newPassage(ctx, service, hold)
+	p, r, err := s.newPlainCall(ctx, service, hold)
 	if err != nil {
 		hold.Close()
 		s.active.Add(-1)
 		s.refuseUnread(ctx, fasthttp.StatusBadRequest, err)
 		return
 	}
-	if status, err := s.account(ctx, r.Account); err != nil {
+	if status, err := s.authenticate(ctx, r.Account); err != nil {
 		hold.Close()
 		s.active.Add(-1)
 		s.refuseField(ctx, status, err)
@@ -90,7 +93,8 @@
 		s.active.Add(-1)
 	}
 	if p.kept != nil {
-		// While a body is streamed the library itself reads the connection.
+		// A watch is only possible without a streamed body, since the library reads
+		// that from the connection.
 		watch := watchGone(ctx.Conn(), call.Gone)
 		finish = func() {
 			watch.stop()
@@ -113,15 +117,16 @@
 	}
 }
 
-func (s *Server) newPassage(ctx *fasthttp.RequestCtx, service table.Service, hold *held.Hold) (*passage, dispatch.Request, error) {
-	p := &passage{s: s, hold: hold, answers: make(chan *http.Response), copied: make(chan error, 1)}
+// newPlainCall parses a call and returns it with the dispatcher's request for it.
+func (s *Server) newPlainCall(ctx *fasthttp.RequestCtx, service table.Service, hold *held.Hold) (*plainCall, dispatch.Request, error) {
+	p := &plainCall{s: s, hold: hold, answers: make(chan *http.Response), copied: make(chan error, 1)}
 	r := dispatch.Request{
 		Service: service.Name,
 		Account: string(ctx.Request.Header.Peek(callerapi.HeaderAccount)),
 		Zone:    s.cfg.Zone,
 		Forward: p.forward,
 	}
-	if err := s.headers(ctx, &r); err != nil {
+	if err := s.parseHeaders(ctx, &r); err != nil {
 		return p, r, err
 	}
 	method := string(ctx.Method())
@@ -140,19 +145,19 @@
 	p.call.Header.Del("Authorization")
 	p.call.Header.Del("Content-Length")
 	plainhttp.Strip(p.call.Header)
-	if err := p.takeBody(ctx, &r); err != nil {
+	if err := p.bufferBody(ctx, &r); err != nil {
 		return p, r, err
 	}
 	p.call.Once = r.Once
 	if p.kept != nil {
-		// What is streamed is not known whole before it is sent.
-		r.Asks = asks(ctx, r.Account, p.kept)
+		// A streamed body can't be fingerprinted before it is sent.
+		r.Asks = poisonRequest(ctx, r.Account, p.kept)
 	}
 	return p, r, nil
 }
 
-// takeBody keeps a small body and leaves a large one to be streamed.
-func (p *passage) takeBody(ctx *fasthttp.RequestCtx, r *dispatch.Request) error {
+// bufferBody buffers a small body and sets up a large one to be streamed.
+func (p *plainCall) bufferBody(ctx *fasthttp.RequestCtx, r *dispatch.Request) error {
 	stream := ctx.RequestBodyStream()
 	head, err := readBody(ctx, p.hold, maxKept)
 	if err == nil {
@@ -166,22 +171,23 @@
 	p.hold.Complete()
 	p.call.Body = io.MultiReader(bytes.NewReader(head), stream)
 	p.call.Length = max(p.call.Length, -1)
-	// What was streamed cannot be sent again.
+	// A streamed body can't be sent again.
 	r.Once = true
 	return nil
 }
 
-// errCallerSlow stands for an answer that could not be handed on.
-var errCallerSlow = errors.New("answer could not be handed to the caller")
+// errCallerSlow is returned when an answer could not be written to the caller.
+var errCallerSlow = errors.New("answer could not be written to the caller")
 
-// forward makes one exchange with an endpoint; the driver calls it.
-func (p *passage) forward(ctx context.Context, attempt lifecycle.AttemptID, e table.Endpoint) error {
+// forward sends the call to an endpoint and waits until its answer is copied to the caller. The
+// dispatcher's driver calls it for each attempt.
+func (p *plainCall) forward(ctx context.Context, attempt lifecycle.AttemptID, e table.Endpoint) error {
 	call := p.call
 	call.Attempt = attempt
 	if p.kept != nil {
 		call.Body = bytes.NewReader(p.kept)
 	} else if p.begun.Swap(true) {
-		return adapter.ErrNotRun.New("the body was streamed and is gone")
+		return adapter.ErrNotRun.New("the body was streamed and can't be sent again")
 	}
 	resp, err := p.s.cfg.Plain.Do(ctx, e, call)
 	if err != nil {
@@ -191,16 +197,16 @@
 	case p.answers <- resp:
 	case <-ctx.Done():
 		_ = resp.Body.Close()
-		return adapter.ErrDidRun.Wrap(ctx.Err(), "answer came too late")
+		return adapter.ErrDidRun.Wrap(ctx.Err(), "answer arrived too late")
 	}
 	if err := <-p.copied; err != nil {
-		return adapter.ErrFinal.Wrap(err, "answer was cut")
+		return adapter.ErrFinal.Wrap(err, "answer was cut short")
 	}
 	return nil
 }
 
-// answer hands an endpoint's answer to the caller as it comes.
-func (p *passage) answer(ctx *fasthttp.RequestCtx, resp *http.Response, finish func()) {
+// answer streams an endpoint's answer to the caller and calls finish at its end.
+func (p *plainCall) answer(ctx *fasthttp.RequestCtx, resp *http.Response, finish func()) {
 	ctx.SetStatusCode(resp.StatusCode)
 	for name, values := range resp.Header {
 		if name == "Content-Length" {
@@ -216,7 +222,7 @@
 	})
 }
 
-// copyFlushed passes on each piece as it comes.
+// copyFlushed copies body to w and flushes after each read.
 func copyFlushed(w *bufio.Writer, body io.ReadCloser) error {
 	defer func() { _ = body.Close() }()
 	buf := make([]byte, copyBuffer)
--- a/transport/callerhttp/refuse.go
+++ b/transport/callerhttp/refuse.go
@@ -16,7 +16,7 @@
 	"runridge.example/runridge/state/lifecycle"
 )
 
-// refuse writes a typed refusal.
+// refuse writes a refusal as JSON, with Retry-After in whole seconds, rounded up.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, status int, body callerapi.RefusalBody) {
 	data, err := json.Marshal(callerapi.Refusal{Error: body})
 	if err != nil {
@@ -33,7 +33,7 @@
 
 const msPerSecond = 1000
 
-// refuseField answers a request that breaks a rule; nothing ran.
+// refuseField refuses an invalid request. It did not run.
 func (s *Server) refuseField(ctx *fasthttp.RequestCtx, status int, err error) {
 	s.refuse(ctx, status, callerapi.RefusalBody{
 		Outcome: callerapi.OutcomeNotRun,
@@ -42,11 +42,11 @@
 	})
 }
 
-// noRoomRetryMS is when to come again to a box that has no room for a body: slower bodies
-// have given way by then.
+// noRoomRetryMS is the retry time of a box that has no capacity for a body: by then slower
+// bodies have been evicted.
 const noRoomRetryMS = 1000
 
-// refuseUnread answers a request that could not be read, or breaks a rule; nothing ran.
+// refuseUnread refuses a request that is invalid or could not be read. It did not run.
 func (s *Server) refuseUnread(ctx *fasthttp.RequestCtx, status int, err error) {
 	if !errors.Is(err, held.ErrNoRoom) {
 		s.refuseField(ctx, status, err)
@@ -61,7 +61,7 @@
 	})
 }
 
-// refusalFor turns the end of a request into what its caller is told.
+// refusalFor returns the status and body for a request that did not finish.
 func refusalFor(id lifecycle.RequestID, a dispatch.Answer) (int, callerapi.RefusalBody) {
 	body := callerapi.RefusalBody{Reason: string(a.Reason), Request: id.String()}
 	switch a.Phase {
--- a/transport/callerhttp/request.go
+++ b/transport/callerhttp/request.go
@@ -22,7 +22,8 @@
 	"runridge.example/runridge/state/table"
 )
 
-// hold begins to hold the body of a request.
+// hold opens the accounting of a request's body in the box's budget of held bytes. Eviction
+// makes reads of the body time out.
 func (s *Server) hold(ctx *fasthttp.RequestCtx) *held.Hold {
 	conn := ctx.Conn()
 	return s.cfg.Held.Open(held.Upload, ctx.RemoteAddr().String(), func() {
@@ -30,14 +31,14 @@
 	})
 }
 
-// readBody reads a whole body within a bound, in bytes.
+// readBody reads a body of at most limit bytes. With an error it returns what it has read.
 func readBody(ctx *fasthttp.RequestCtx, h *held.Hold, limit int) ([]byte, error) {
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
 		if !h.Take(len(ctx.PostBody())) {
 			return nil, held.ErrNoRoom
 		}
-		// The library uses its own copy again when the handler has returned.
+		// The library reuses its buffer after the handler has returned.
 		return append([]byte{}, ctx.PostBody()...), nil
 	}
 	data, err := held.Read(stream, h, held.Unknown, limit)
@@ -51,7 +52,8 @@
 	return data, nil
 }
 
-// request reads and checks a completions request.
+// request reads and checks a completions request. With an error it returns the status of the
+// refusal.
 func (s *Server) request(ctx *fasthttp.RequestCtx, h *held.Hold, chat bool) (callerapi.Body, dispatch.Request, int, error) {
 	if !ctx.IsPost() {
 		return callerapi.Body{}, dispatch.Request{}, fasthttp.StatusMethodNotAllowed, invalid.FieldError{
@@ -78,23 +80,25 @@
 		}
 	}
 	r, err := s.fill(ctx, body, service)
-	r.Asks = asks(ctx, r.Account, data)
+	r.Asks = poisonRequest(ctx, r.Account, data)
 	if err != nil {
 		return body, r, fasthttp.StatusBadRequest, err
 	}
-	if status, err := s.account(ctx, r.Account); err != nil {
+	if status, err := s.authenticate(ctx, r.Account); err != nil {
 		return body, r, status, err
 	}
 	return body, r, 0, nil
 }
 
-// asks is what makes another request the same as this one. The host is that of the box.
-func asks(ctx *fasthttp.RequestCtx, account string, body []byte) poison.Request {
+// poisonRequest returns the parts of a request by which repetitions of it are recognized as the
+// same. The host is left out, since it is that of the box.
+func poisonRequest(ctx *fasthttp.RequestCtx, account string, body []byte) poison.Request {
 	return poison.Request{
 		Method: string(ctx.Method()), Target: string(ctx.RequestURI()), Account: account, Body: body,
 	}
 }
 
+// models lists the names of the model services, for refusals.
 func (s *Server) models() string {
 	var names []string
 	for _, service := range s.cfg.Tables.Table().Services {
@@ -105,7 +109,8 @@
 	return strings.Join(names, ", ")
 }
 
-// fill checks bounds and headers and makes the dispatcher's request.
+// fill checks a completions request against the service's limits and returns the dispatcher's
+// request.
 func (s *Server) fill(ctx *fasthttp.RequestCtx, body callerapi.Body, service table.Service) (dispatch.Request, error) {
 	prompt := body.Text()
 	tokens := max(int(float64(len(prompt))/s.cfg.BytesPerToken), 1)
@@ -132,16 +137,16 @@
 	if body.MaxTokens > 0 {
 		r.OutputTokens = body.MaxTokens
 	}
-	return r, s.headers(ctx, &r)
+	return r, s.parseHeaders(ctx, &r)
 }
 
-// headers reads what the request's headers say.
-func (s *Server) headers(ctx *fasthttp.RequestCtx, r *dispatch.Request) error {
-	priority, err := number(ctx, callerapi.HeaderPriority, -callerapi.MaxPriority, callerapi.MaxPriority)
+// parseHeaders sets the priority, deadline, once and idempotency key of r from the headers.
+func (s *Server) parseHeaders(ctx *fasthttp.RequestCtx, r *dispatch.Request) error {
+	priority, err := intHeader(ctx, callerapi.HeaderPriority, -callerapi.MaxPriority, callerapi.MaxPriority)
 	if err != nil {
 		return err
 	}
-	deadline, err := number(ctx, callerapi.HeaderDeadline, 0, callerapi.MaxDeadlineMS)
+	deadline, err := intHeader(ctx, callerapi.HeaderDeadline, 0, callerapi.MaxDeadlineMS)
 	if err != nil {
 		return err
 	}
@@ -162,8 +167,8 @@
 	return nil
 }
 
-// number reads a header that is a whole number; a header not sent is 0.
-func number(ctx *fasthttp.RequestCtx, header string, low, high int) (int, error) {
+// intHeader returns the value of an integer header from low to high; 0 if it is missing.
+func intHeader(ctx *fasthttp.RequestCtx, header string, low, high int) (int, error) {
 	text := string(ctx.Request.Header.Peek(header))
 	if text == "" {
 		return 0, nil
@@ -177,9 +182,9 @@
 	return n, nil
 }
 
-// account checks the caller's key if the table has one for the account. A
-// table without accounts serves any.
-func (s *Server) account(ctx *fasthttp.RequestCtx, name string) (int, error) {
+// authenticate checks the caller's key if the table has keys for the account. With an error it
+// returns the status of the refusal. A table without accounts accepts every caller.
+func (s *Server) authenticate(ctx *fasthttp.RequestCtx, name string) (int, error) {
 	t := s.cfg.Tables.Table()
 	if len(t.Accounts) == 0 {
 		return 0, nil
--- a/transport/callerhttp/server.go
+++ b/transport/callerhttp/server.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package callerhttp is the side of a box that callers see: the completions
-// API, plain services by route, and health.
+// Package callerhttp is the HTTP server for callers: the completions API, plain services by
+// route, and health checks.
 package callerhttp
 
 import (
@@ -24,12 +24,12 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Dispatcher runs model requests.
+// Dispatcher runs requests for model and plain services.
 type Dispatcher interface {
 	Submit(ctx context.Context, r dispatch.Request) *dispatch.Call
 }
 
-// Tables gives the table in force.
+// Tables returns the table in force.
 type Tables interface {
 	Table() table.Table
 }
@@ -39,18 +39,18 @@
 	Dispatcher Dispatcher
 	Plain      Plain
 	Tables     Tables
-	// Ready says whether the box takes requests.
+	// Ready reports whether the box accepts requests; nil means always.
 	Ready func() bool
 	Zone  string
-	// MaxBody bounds a completions body, in bytes.
+	// MaxBody is the largest completions body, in bytes.
 	MaxBody int
-	// MaxHeaders bounds a request's headers, in bytes.
+	// MaxHeaders is the largest size of a request's headers, in bytes.
 	MaxHeaders int
-	// MaxConcurrent bounds the requests served at once.
+	// MaxConcurrent limits the requests served at once.
 	MaxConcurrent int
-	// BytesPerToken estimates a prompt's tokens.
+	// BytesPerToken is used to estimate a prompt's tokens from its length.
 	BytesPerToken float64
-	// Held bounds the bytes that are held for callers; nil is no bound.
+	// Held is the budget of bytes held for callers; nil means unlimited.
 	Held *held.Budget
 	Log  log.Logger
 }
@@ -63,19 +63,19 @@
 	idleTimeout          = 2 * time.Minute
 	readTimeout          = 30 * time.Second
 	// writeTimeout ends the connection of a caller who does not read writePiece bytes
-	// in that time.
+	// within that time.
 	writeTimeout = 5 * time.Second
 	writePiece   = 8 << 10
 )
 
-// Server answers callers.
+// Server serves callers' requests.
 type Server struct {
 	cfg    Config
 	http   *fasthttp.Server
 	active atomic.Int64
 }
 
-// New makes a server; Serve starts it.
+// New returns a server with defaults for limits that aren't set; Serve starts it.
 func New(cfg Config) *Server {
 	if cfg.MaxBody <= 0 {
 		cfg.MaxBody = defaultMaxBody
@@ -102,21 +102,21 @@
 		NoDefaultContentType:  true,
 		CloseOnShutdown:       true,
 		ErrorHandler:          s.badRequest,
-		Logger:                quiet{},
+		Logger:                discardLogger{},
 	}
 	return s
 }
 
-// quiet drops the library's own log lines; events are logged here.
-type quiet struct{}
+// discardLogger drops the library's own log lines, since the box logs its own events.
+type discardLogger struct{}
 
-// Printf drops a line.
-func (quiet) Printf(string, ...any) {}
+// Printf does nothing.
+func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers until the context ends; requests in flight are finished first.
+// Serve serves requests until the context ends, then finishes the requests in flight.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	ended := make(chan error, 1)
-	go func() { ended <- s.http.Serve(patientListener{l}) }()
+	go func() { ended <- s.http.Serve(writeTimeoutListener{l}) }()
 	select {
 	case err := <-ended:
 		return err
@@ -125,12 +125,12 @@
 	}
 }
 
-// Active is the number of requests being served.
+// Active returns the number of requests being served.
 func (s *Server) Active() int {
 	return int(s.active.Load())
 }
 
-// badRequest answers what the library could not read.
+// badRequest refuses a request that the library could not read.
 func (s *Server) badRequest(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	if errors.As(err, &small) {
@@ -155,7 +155,7 @@
 		return
 	}
 	if s.cfg.Tables.Table().Generation == 0 {
-		// A box that has just started knows no service yet.
+		// A box that has just started has read no table and knows no services.
 		s.refuse(ctx, fasthttp.StatusServiceUnavailable, callerapi.RefusalBody{
 			Outcome:      callerapi.OutcomeNotRun,
 			Reason:       "box_not_ready",
@@ -174,8 +174,8 @@
 		})
 		return
 	}
-	// A streamed answer is written after this function has returned, so the
-	// count is given back by whoever finishes the answer.
+	// A streamed answer is written after this function has returned, so the count of
+	// active requests is decremented by whatever finishes the answer.
 	switch path {
 	case callerapi.PathChat:
 		s.complete(ctx, true)
@@ -193,13 +193,13 @@
 	}
 }
 
-// notReadyRetryMS is when to come again to a box that has no table yet.
+// notReadyRetryMS is the retry time of a box that has no table yet.
 const notReadyRetryMS = 1000
 
-// minRetryMS is the least that a refused caller is told to wait.
+// minRetryMS is the shortest retry time sent with a refusal.
 const minRetryMS = 100
 
-// paths lists what can be asked for.
+// paths lists the paths that are served, for refusals.
 func (s *Server) paths() string {
 	paths := []string{callerapi.PathChat, callerapi.PathCompletions}
 	for _, service := range s.cfg.Tables.Table().Services {
