--- a/transport/boxnet/boxnet.go
+++ b/transport/boxnet/boxnet.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package boxnet carries messages between boxes: one TCP connection in each
-// direction, opened when first needed, with a bounded ring in front of it.
-// A message that cannot be queued or sent is lost; whoever sent it asks again.
+// Package boxnet carries messages between boxes over one TCP connection in each direction. A
+// connection is opened on first use and has a bounded send queue. A message that can't be queued
+// or sent is lost; the sender has to retry.
 package boxnet
 
 import (
@@ -23,24 +23,23 @@
 	"runridge.example/runridge/state/locality"
 )
 
-// Handler takes a message that came from a process of a box. It must not
-// block.
+// Handler handles a message received from a box's process. It must not block.
 type Handler func(from boxwire.Owner, m boxwire.Message)
 
 // Config configures a Net.
 type Config struct {
 	Box         string
 	Incarnation uint64
-	// Key is shared by all boxes; empty means that none is asked for.
+	// Key is the secret that all boxes share; if it is empty, hellos aren't authenticated.
 	Key []byte
-	// QueueSize bounds the messages that wait for one peer.
+	// QueueSize limits the messages queued for one peer; 0 means the default.
 	QueueSize int
 	Handler   Handler
-	// OnRefused, if set, is told of a box at whose address nothing listens any
+	// OnRefused, if set, is called with a box at whose address nothing listens any
 	// more. It must not block.
 	OnRefused func(box string)
-	// DistanceTo, if set, says how far another box is, for the counts of what is
-	// sent. It must not block.
+	// DistanceTo, if set, returns the distance of another box, for the counts of sent
+	// messages. It must not block.
 	DistanceTo func(box string) locality.Distance
 	Log        log.Logger
 }
@@ -50,26 +49,29 @@
 	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
 	helloTimeout = 2 * time.Second
-	// idleTimeout closes a connection that nothing used: a large fleet's
-	// probes go to another box each time.
+	// idleTimeout is after how long an idle outgoing connection is closed. In a large
+	// fleet each probe goes to another box, so most connections aren't used again soon.
 	idleTimeout = 5 * time.Second
-	// idleMargin keeps an idle close from being taken for an early one.
+	// idleMargin is by how much a peer's idle close may be early without counting as a
+	// failure of its process.
 	idleMargin = 500 * time.Millisecond
-	// readPatience ends connections whose sender vanished without a word.
-	readPatience = 3 * idleTimeout
-	bufferSize   = 4 << 10
+	// readTimeout ends an incoming connection whose sender is gone without closing it.
+	readTimeout = 3 * idleTimeout
+	bufferSize  = 4 << 10
 )
 
-// Net is a box's connections to the others.
+// Net holds a box's connections to the other boxes.
 type Net struct {
 	cfg   Config
 	mutex sync.Mutex
 	ctx   context.Context
 	peers map[string]Peer
 	links map[string]*link
+	// conns holds the incoming connections.
 	conns map[net.Conn]struct{}
 	ended bool
 
+	// sent and received count bytes, messages the messages sent.
 	sent, received atomic.Uint64
 	messages       atomic.Uint64
 	// lost counts the outgoing connections that have ended.
@@ -79,7 +81,7 @@
 	unknown  unknownCounts
 }
 
-// link is the way to one box while it is used.
+// link is the outgoing connection to a box and its send queue. It exists while it is in use.
 type link struct {
 	name    string
 	address string
@@ -87,8 +89,7 @@
 	cancel  context.CancelFunc
 }
 
-// New makes the connections' owner; Serve accepts those of others. Sending
-// ends with the context.
+// New returns a Net that can send until ctx ends. Serve accepts the connections of other boxes.
 func New(ctx context.Context, cfg Config) *Net {
 	if cfg.QueueSize <= 0 {
 		cfg.QueueSize = defaultQueue
@@ -102,14 +103,13 @@
 	}
 }
 
-// Traffic is what the box has sent and received so far, in bytes, and the
-// messages sent.
+// Traffic returns the bytes sent and received so far, and the number of messages sent.
 func (n *Net) Traffic() (sent, received, messages uint64) {
 	return n.sent.Load(), n.received.Load(), n.messages.Load()
 }
 
-// SetPeers replaces the other boxes by name. Links to boxes that are gone or
-// have moved are dropped.
+// SetPeers replaces the other boxes, keyed by name. Links to boxes that are gone or have another
+// address are closed.
 func (n *Net) SetPeers(peers map[string]Peer) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -122,7 +122,7 @@
 	}
 }
 
-// Send queues a message for a box. Full also stands for a box not known.
+// Send queues a message for a box. It also returns ring.Full if the box is unknown.
 func (n *Net) Send(box string, m boxwire.Message) ring.Outcome {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -137,16 +137,16 @@
 	return l.queue.Offer(m)
 }
 
-// open starts a link. The mutex is held.
+// open creates a link and starts its writer. The mutex is held.
 func (n *Net) open(box, address string) *link {
 	ctx, cancel := context.WithCancel(n.ctx)
 	l := &link{name: box, address: address, queue: ring.New[boxwire.Message](n.cfg.QueueSize), cancel: cancel}
 	n.links[box] = l
-	go n.drain(ctx, l)
+	go n.writeLoop(ctx, l)
 	return l
 }
 
-// retire ends a link that was idle, unless something was queued meanwhile.
+// retire removes an idle link. It returns false if a message was queued meanwhile.
 func (n *Net) retire(l *link) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -159,10 +159,10 @@
 	return true
 }
 
-// drain is the duty that writes to one box.
-func (n *Net) drain(ctx context.Context, l *link) {
+// writeLoop writes the messages queued for one box until the link is idle or canceled.
+func (n *Net) writeLoop(ctx context.Context, l *link) {
 	defer l.cancel()
-	var c *out
+	var c *outConn
 	defer func() { closeOut(c) }()
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -181,9 +181,10 @@
 	}
 }
 
-// write sends a message and all that wait behind it, and returns the
-// connection to go on with, nil if it broke.
-func (n *Net) write(ctx context.Context, l *link, c *out, m boxwire.Message) *out {
+// write sends a message together with others that are queued, up to about bufferSize bytes. It
+// dials if c is nil or has ended, and returns the connection for the next write, nil after a
+// failure.
+func (n *Net) write(ctx context.Context, l *link, c *outConn, m boxwire.Message) *outConn {
 	if c == nil || c.ended.Load() {
 		closeOut(c)
 		var err error
@@ -192,10 +193,10 @@
 			return nil
 		}
 	}
-	buf, err := n.frame(make([]byte, 0, bufferSize), l.name, m)
+	buf, err := n.appendFrame(make([]byte, 0, bufferSize), l.name, m)
 	count := uint64(1)
 	for err == nil && len(buf) < bufferSize && l.queue.Len() > 0 {
-		buf, err = n.frame(buf, l.name, <-l.queue.C())
+		buf, err = n.appendFrame(buf, l.name, <-l.queue.C())
 		count++
 	}
 	if err != nil {
@@ -217,9 +218,10 @@
 	return c
 }
 
-// frame adds a message to a box to buf and counts it. What the box does not read is left out.
-func (n *Net) frame(buf []byte, to string, m boxwire.Message) ([]byte, error) {
-	version, reads := n.versions.of(to, n.told(to), m.Kind())
+// appendFrame appends the frame of a message for a box to buf and counts it. A message of a kind
+// that the box does not read is skipped.
+func (n *Net) appendFrame(buf []byte, to string, m boxwire.Message) ([]byte, error) {
+	version, reads := n.versions.of(to, n.peer(to), m.Kind())
 	if !reads {
 		return buf, nil
 	}
@@ -231,7 +233,7 @@
 	return buf, err
 }
 
-// Serve accepts connections until the context ends.
+// Serve accepts and reads connections until the context ends. Then it closes them and the links.
 func (n *Net) Serve(ctx context.Context, l net.Listener) error {
 	var readers errgroup.Group
 	stop := context.AfterFunc(ctx, func() {
@@ -251,18 +253,19 @@
 			}
 			continue
 		}
-		if !n.keep(c) {
+		if !n.register(c) {
 			closeConn(c)
 			continue
 		}
 		readers.Go(func() error {
-			n.read(c)
+			n.readLoop(c)
 			return nil
 		})
 	}
 }
 
-func (n *Net) keep(c net.Conn) bool {
+// register adds an incoming connection. It returns false if the Net has ended.
+func (n *Net) register(c net.Conn) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.ended {
@@ -284,20 +287,20 @@
 	}
 }
 
-// read is the duty that takes one connection's messages.
-func (n *Net) read(c net.Conn) {
+// readLoop reads the messages of one incoming connection until it ends.
+func (n *Net) readLoop(c net.Conn) {
 	defer func() {
 		n.mutex.Lock()
 		delete(n.conns, c)
 		n.mutex.Unlock()
 		closeConn(c)
 	}()
-	heard := time.Now()
+	lastReceived := time.Now()
 	from := ""
 	defer func() {
-		// The other side closes only what was idle. What ends sooner may be
-		// the end of the process.
-		if from != "" && time.Since(heard) < idleTimeout-idleMargin {
+		// The peer closes only idle connections. If one ends sooner, the peer's process
+		// may have ended.
+		if from != "" && time.Since(lastReceived) < idleTimeout-idleMargin {
 			n.suspect(from)
 		}
 	}()
@@ -310,36 +313,36 @@
 		return
 	}
 	hello, ok := first.(*boxwire.Hello)
-	if !ok || !n.trusts(hello) {
+	if !ok || !n.verify(hello) {
 		n.cfg.Log.WithFields(log.Fields{"peer": c.RemoteAddr().String()}).Warn("box_hello_refused")
 		return
 	}
 	from = hello.Box
 	sender := boxwire.Owner{Box: hello.Box, Incarnation: hello.Incarnation}
-	n.versions.greeted(hello)
+	n.versions.recordHello(hello)
 	for {
-		_ = c.SetReadDeadline(time.Now().Add(readPatience))
+		_ = c.SetReadDeadline(time.Now().Add(readTimeout))
 		m, err := boxwire.Read(r)
 		if err != nil {
 			return
 		}
-		heard = time.Now()
+		lastReceived = time.Now()
 		if u, ok := m.(*boxwire.Unknown); ok {
-			n.passOver(sender, u)
+			n.skipUnknown(sender, u)
 			continue
 		}
-		n.versions.heard(sender, m.Kind())
+		n.versions.recordKind(sender, m.Kind())
 		n.cfg.Handler(sender, m)
 	}
 }
 
-// countingReader counts the bytes that come in.
+// countingReader counts the bytes received from a connection.
 type countingReader struct {
 	c net.Conn
 	n *Net
 }
 
-// Read passes on what the connection gives.
+// Read reads from the connection and counts the bytes.
 func (r countingReader) Read(p []byte) (int, error) {
 	k, err := r.c.Read(p)
 	r.n.received.Add(uint64(k))
@@ -352,7 +355,7 @@
 	}
 }
 
-// Address is where a box is reached; empty if that is not known.
+// Address returns a box's address; empty if it is unknown.
 func (n *Net) Address(box string) string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/transport/boxnet/boxnet_test.go
+++ b/transport/boxnet/boxnet_test.go
@@ -15,17 +15,17 @@
 	"runridge.example/runridge/protocol/boxwire"
 )
 
-// patience bounds every wait for a state in this test.
-const patience = 20 * time.Second
+// waitTimeout limits every wait for a state in this test.
+const waitTimeout = 20 * time.Second
 
-// process is one start of a box at an address.
+// process is one run of box b at an address. got receives the Have of each Pull that it reads.
 type process struct {
 	got  chan uint64
 	end  context.CancelFunc
 	done chan struct{}
 }
 
-func begin(t *testing.T, l net.Listener) *process {
+func startProcess(t *testing.T, l net.Listener) *process {
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background())
 	p := &process{got: make(chan uint64, 16), end: end, done: make(chan struct{})}
@@ -46,11 +46,11 @@
 }
 
 func TestRestart(t *testing.T) {
-	convey.Convey("The first message to a box that has restarted at its address is not lost", t, func() {
+	convey.Convey("The first message to a box that has restarted at the same address is not lost", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
 		address := l.Addr().String()
-		first := begin(t, l)
+		first := startProcess(t, l)
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		a := New(ctx, Config{Box: "a", Log: log.Discard(), Handler: func(boxwire.Owner, boxwire.Message) {}})
@@ -58,19 +58,19 @@
 		a.Send("b", &boxwire.Pull{Have: 1})
 		convey.So(<-first.got, convey.ShouldEqual, 1)
 		first.stop()
-		deadline := time.Now().Add(patience)
+		deadline := time.Now().Add(waitTimeout)
 		for a.lost.Load() == 0 && time.Now().Before(deadline) {
 			time.Sleep(time.Millisecond)
 		}
 		convey.So(a.lost.Load(), convey.ShouldEqual, 1)
 		l, err = net.Listen("tcp", address)
 		convey.So(err, convey.ShouldBeNil)
-		second := begin(t, l)
+		second := startProcess(t, l)
 		a.Send("b", &boxwire.Pull{Have: 2})
 		select {
 		case got := <-second.got:
 			convey.So(got, convey.ShouldEqual, 2)
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			convey.So("the message", convey.ShouldEqual, "received")
 		}
 	})
--- a/transport/boxnet/hello.go
+++ b/transport/boxnet/hello.go
@@ -11,15 +11,17 @@
 	"runridge.example/runridge/protocol/boxwire"
 )
 
-// hello is the frame that opens a connection to a box. The proof covers both
-// names, so that a greeting to one box opens nothing at another.
+// hello returns the frame that opens a connection to a box. Its proof covers the names of both
+// boxes, so that a hello to one box can't be replayed to another.
 func (n *Net) hello(to string) ([]byte, error) {
 	m := &boxwire.Hello{Box: n.cfg.Box, Incarnation: n.cfg.Incarnation, Version: boxwire.VersionNow}
 	m.Proof = n.proof(m, to)
-	// Which build is there now shows only in its own greeting.
+	// The version of the process that listens there now is unknown before its own hello
+	// arrives, so this one is encoded for the oldest.
 	return boxwire.Append(nil, m, boxwire.VersionNone)
 }
 
+// proof returns the HMAC-SHA256 of a hello to a box under the shared key; nil without a key.
 func (n *Net) proof(m *boxwire.Hello, to string) []byte {
 	if len(n.cfg.Key) == 0 {
 		return nil
@@ -31,8 +33,8 @@
 	return mac.Sum(nil)
 }
 
-// trusts checks a greeting against the shared key.
-func (n *Net) trusts(m *boxwire.Hello) bool {
+// verify reports whether a hello names its box and, if a key is set, was made with that key.
+func (n *Net) verify(m *boxwire.Hello) bool {
 	if m.Box == "" {
 		return false
 	}
--- a/transport/boxnet/out.go
+++ b/transport/boxnet/out.go
@@ -12,30 +12,31 @@
 	"runridge.example/runridge/protocol/boxwire"
 )
 
-// out is a connection that this box opened. The other side says nothing on it,
-// so a read that returns means that it has ended; what was written after the
-// other process had ended would be lost without an error.
-type out struct {
+// outConn is a connection that this box opened. The peer sends nothing on it, so a read returns
+// only when the connection has ended. This has to be watched, since the first write after the
+// peer's process has ended would be lost without an error.
+type outConn struct {
 	net.Conn
-	// ended says that the connection has ended, closed that this box ended it.
+	// ended is true once the connection has ended, closed if this box closed it.
 	ended, closed atomic.Bool
 }
 
-// watch notes the connection's end.
-func (o *out) watch() {
+// watch waits for the end of the connection and records it.
+func (o *outConn) watch() {
 	var one [1]byte
 	_, _ = o.Read(one[:])
 	o.ended.Store(true)
 }
 
-func closeOut(o *out) {
+func closeOut(o *outConn) {
 	if o != nil {
 		o.closed.Store(true)
 		_ = o.Close()
 	}
 }
 
-func (n *Net) dial(ctx context.Context, l *link) (*out, error) {
+// dial opens a connection to the link's box and sends the hello.
+func (n *Net) dial(ctx context.Context, l *link) (*outConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", l.address)
 	if err != nil {
@@ -53,12 +54,12 @@
 	}
 	n.sent.Add(uint64(len(hello)))
 	n.flows.add(boxwire.KindHello, n.distanceTo(l.name), len(hello))
-	o := &out{Conn: c}
+	o := &outConn{Conn: c}
 	go func() {
 		o.watch()
 		n.lost.Add(1)
 		if !o.closed.Load() {
-			// The process there may be followed by one of another build.
+			// The next process at that address may run another build.
 			n.forget(l.name)
 		}
 	}()
--- a/transport/boxnet/refused.go
+++ b/transport/boxnet/refused.go
@@ -12,8 +12,8 @@
 	"runridge.example/runridge/modules/log"
 )
 
-// Refused says whether a machine answered that nothing listens at an address.
-// No answer, or any other failure, is no proof.
+// Refused reports whether a connection to an address was refused, which proves that nothing
+// listens there. A timeout or any other failure proves nothing.
 func (n *Net) Refused(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", address)
@@ -21,8 +21,9 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// dialFailed tells of a box whose process is gone. A time-out does not show that: what is
-// known of how the process reads stands.
+// dialFailed handles a failed dial to a box. Only a refused connection shows that the box's
+// process is gone, and then OnRefused is called; after any other failure, such as a timeout, the
+// known version of the process is kept.
 func (n *Net) dialFailed(box string, err error) {
 	n.cfg.Log.WithFields(log.Fields{"peer": box}).WithError(err).Debug("box_dial_failed")
 	if !errors.Is(err, syscall.ECONNREFUSED) {
@@ -34,7 +35,7 @@
 	}
 }
 
-// suspect looks at once whether a box whose connection broke is still there.
+// suspect checks at once, in the background, whether a box whose connection broke still listens.
 func (n *Net) suspect(box string) {
 	n.forget(box)
 	n.mutex.Lock()
--- a/transport/boxnet/traffic.go
+++ b/transport/boxnet/traffic.go
@@ -10,9 +10,8 @@
 	"runridge.example/runridge/state/locality"
 )
 
-// Flow is what this box has sent in messages of one kind to boxes at one
-// distance. Each message is counted by its sender alone, so the flows of all
-// boxes together are all that passes between them.
+// Flow counts the messages of one kind that this box has sent to boxes at one distance. Only the
+// sender counts a message, so the flows of all boxes add up to the traffic between them.
 type Flow struct {
 	Kind     boxwire.Kind
 	Distance locality.Distance
@@ -20,20 +19,20 @@
 	Messages uint64
 }
 
-// flowCount counts one flow.
+// flowCount holds the counters of one flow.
 type flowCount struct{ bytes, messages atomic.Uint64 }
 
-// flows are the counts by kind and distance.
+// flows holds the counters by kind and distance.
 type flows [boxwire.Kinds][locality.Distances]flowCount
 
-// add counts a message.
+// add counts a message of size bytes.
 func (f *flows) add(k boxwire.Kind, d locality.Distance, size int) {
 	c := &f[k][d]
 	c.bytes.Add(uint64(size))
 	c.messages.Add(1)
 }
 
-// Flows lists what was sent so far, without the flows that have had nothing.
+// Flows returns the flows with at least one message so far.
 func (n *Net) Flows() []Flow {
 	var out []Flow
 	for k := range n.flows {
@@ -52,7 +51,7 @@
 	return out
 }
 
-// distanceTo is how far another box is.
+// distanceTo returns the distance of another box; locality.SameRegion if DistanceTo isn't set.
 func (n *Net) distanceTo(box string) locality.Distance {
 	if n.cfg.DistanceTo == nil {
 		return locality.SameRegion
--- a/transport/boxnet/traffic_test.go
+++ b/transport/boxnet/traffic_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := begin(t, l)
+	other := startProcess(t, l)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	a := New(ctx, Config{
@@ -44,7 +44,7 @@
 			t.Errorf("kind %d has no name", f.Kind)
 		}
 	}
-	// What was sent is counted once it is written, which the receiver may see before.
+	// Messages are counted after the write, so the receiver may have them before.
 	sent, _, messages := a.Traffic()
 	for ; messages < 2; sent, _, messages = a.Traffic() {
 		time.Sleep(time.Millisecond)
--- a/transport/boxnet/versions.go
+++ b/transport/boxnet/versions.go
@@ -13,65 +13,65 @@
 	"runridge.example/runridge/protocol/boxwire"
 )
 
-// Peer is another box as membership knows it.
+// Peer is another box as known from membership.
 type Peer struct {
 	Address string
-	// Start is the incarnation of its process, and Version what that reads, as it says
-	// itself; 0 is not known for both.
+	// Start is the incarnation of the box's process, and Version the wire version that the
+	// process announces; 0 is unknown for both.
 	Start   uint64
 	Version boxwire.Version
 }
 
-// peer is what is known of how one process of a box reads.
-type peer struct {
+// peerVersion is what one process of a box can read.
+type peerVersion struct {
 	incarnation uint64
 	version     boxwire.Version
-	// reads are kinds that it has sent itself, beyond those of its version.
+	// reads holds the kinds that the process has sent itself, beyond those of its version.
 	reads map[boxwire.Kind]bool
-	// logged says that a message of its that is not known was logged.
+	// logged is true once an unknown message from the process was logged.
 	logged bool
 }
 
-// peerVersions knows what the other boxes read, from their greetings or what they have
-// membership tell. A box of which neither is known is taken for one whose build tells no version.
+// peerVersions tracks what the other boxes can read, from their hellos or from membership. A box
+// for which neither is known is assumed to run a build that announces no version.
 type peerVersions struct {
 	mutex sync.Mutex
-	peers map[string]*peer
+	peers map[string]*peerVersion
 }
 
-// greeted takes in the greeting of a box's process. A box may be followed by one of an older
-// build, so the last greeting counts.
-func (p *peerVersions) greeted(m *boxwire.Hello) {
+// recordHello records the hello of a box's process. The last hello counts, since a box may be
+// restarted with an older build.
+func (p *peerVersions) recordHello(m *boxwire.Hello) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.peers == nil {
-		p.peers = make(map[string]*peer)
+		p.peers = make(map[string]*peerVersion)
 	}
 	known := p.peers[m.Box]
 	if known == nil || known.incarnation != m.Incarnation {
-		known = &peer{incarnation: m.Incarnation}
+		known = &peerVersion{incarnation: m.Incarnation}
 		p.peers[m.Box] = known
 	}
 	known.version = m.Version
 }
 
-// forget drops what is known of a box whose process may have ended, and what membership has
-// told of that process: one of an older build may have its place.
-func (p *peerVersions) forget(box string, told Peer) {
+// forget drops the version of a box whose process may have ended, including the version that
+// membership has for that process, since a process of an older build may have replaced it.
+func (p *peerVersions) forget(box string, member Peer) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.peers == nil {
-		p.peers = make(map[string]*peer)
+		p.peers = make(map[string]*peerVersion)
 	}
-	start := told.Start
+	start := member.Start
 	if known := p.peers[box]; known != nil {
 		start = max(start, known.incarnation)
 	}
-	p.peers[box] = &peer{incarnation: start}
+	p.peers[box] = &peerVersion{incarnation: start}
 }
 
-// heard notes that a box has sent a kind: it reads what it sends.
-func (p *peerVersions) heard(from boxwire.Owner, k boxwire.Kind) {
+// recordKind records that a process has sent a message of a kind, so that it can read that kind.
+func (p *peerVersions) recordKind(from boxwire.Owner, k boxwire.Kind) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known := p.peers[from.Box]
@@ -84,20 +84,21 @@
 	known.reads[k] = true
 }
 
-// of is the version of a box, and whether it reads a kind. What it has told itself goes before
-// what membership tells of the same process.
-func (p *peerVersions) of(box string, told Peer, k boxwire.Kind) (v boxwire.Version, reads bool) {
+// of returns the version of a box and whether it reads a kind. The box's own hello takes
+// precedence over what membership has for the same process.
+func (p *peerVersions) of(box string, member Peer, k boxwire.Kind) (v boxwire.Version, reads bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known := p.peers[box]
-	if known == nil || known.incarnation < told.Start {
-		return told.Version, told.Version.Reads(k)
+	if known == nil || known.incarnation < member.Start {
+		return member.Version, member.Version.Reads(k)
 	}
 	return known.version, known.version.Reads(k) || known.reads[k]
 }
 
-// first says whether this is the first message of a process that is not known.
-func (p *peerVersions) first(from boxwire.Owner) bool {
+// firstUnknown reports whether a process has sent its first unknown message, and marks that as
+// logged.
+func (p *peerVersions) firstUnknown(from boxwire.Owner) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known := p.peers[from.Box]
@@ -108,13 +109,14 @@
 	return true
 }
 
-// Version is the version of a box that has greeted this one.
+// Version is the wire version of a box.
 type Version struct {
 	Box     string
 	Version boxwire.Version
 }
 
-// Versions lists the boxes that have greeted this one, by name.
+// Versions returns, sorted by name, the versions of the boxes that have sent a hello, and
+// VersionNone for those whose version was dropped by forget.
 func (n *Net) Versions() []Version {
 	n.versions.mutex.Lock()
 	defer n.versions.mutex.Unlock()
@@ -126,10 +128,10 @@
 	return out
 }
 
-// unknownCounts are the messages by kind that this build did not know or could not read.
+// unknownCounts counts, by kind, the messages that this build did not know or could not read.
 type unknownCounts [1 << 8]atomic.Uint64
 
-// Unknown counts the messages by kind that this build did not know or could not read.
+// Unknown returns, by kind, how many messages this build did not know or could not read.
 func (n *Net) Unknown() map[boxwire.Kind]uint64 {
 	out := make(map[boxwire.Kind]uint64)
 	for k := range n.unknown {
@@ -140,10 +142,10 @@
 	return out
 }
 
-// passOver counts a message that is not known, and logs the first of each peer.
-func (n *Net) passOver(from boxwire.Owner, m *boxwire.Unknown) {
+// skipUnknown counts an unknown message and logs the first from each process.
+func (n *Net) skipUnknown(from boxwire.Owner, m *boxwire.Unknown) {
 	n.unknown[m.Code].Add(1)
-	if !n.versions.first(from) {
+	if !n.versions.firstUnknown(from) {
 		return
 	}
 	n.cfg.Log.WithFields(log.Fields{
@@ -151,12 +153,12 @@
 	}).WithError(m.Err).Warn("box_message_unknown")
 }
 
-// told is what membership tells of a box.
-func (n *Net) told(box string) Peer {
+// peer returns a box as known from membership.
+func (n *Net) peer(box string) Peer {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.peers[box]
 }
 
-// forget drops what is known of how a box reads.
-func (n *Net) forget(box string) { n.versions.forget(box, n.told(box)) }
+// forget drops the known version of a box.
+func (n *Net) forget(box string) { n.versions.forget(box, n.peer(box)) }
--- a/transport/boxnet/versions_test.go
+++ b/transport/boxnet/versions_test.go
@@ -22,52 +22,55 @@
 	next := &boxwire.Hello{Box: "a", Incarnation: 2, Version: boxwire.VersionLoose}
 	sender := boxwire.Owner{Box: "a", Incarnation: 1}
 	cases := map[string]struct {
-		happens func(p *peerVersions)
-		// told is what membership tells.
-		told    Peer
+		events func(p *peerVersions)
+		// member is the box as known from membership.
+		member  Peer
 		version boxwire.Version
 		reads   bool
 	}{
-		"a box that has not greeted":                  {happens: func(*peerVersions) {}, version: boxwire.VersionNone, reads: false},
-		"an earlier build":                            {happens: func(p *peerVersions) { p.greeted(old) }, version: boxwire.VersionNone, reads: false},
-		"this build":                                  {happens: func(p *peerVersions) { p.greeted(next) }, version: boxwire.VersionLoose, reads: true},
-		"an earlier build that sends the kind itself": {happens: func(p *peerVersions) { p.greeted(old); p.heard(sender, kind) }, version: boxwire.VersionNone, reads: true},
-		"a later process than the one that sent it":   {happens: func(p *peerVersions) { p.greeted(old); p.heard(sender, kind); p.greeted(next) }, version: boxwire.VersionLoose, reads: true},
-		"an earlier build that follows this one":      {happens: func(p *peerVersions) { p.greeted(next); p.greeted(old) }, version: boxwire.VersionNone, reads: false},
-		"what an earlier process sent counts no more": {happens: func(p *peerVersions) {
-			p.greeted(next)
-			p.greeted(old)
-			p.heard(boxwire.Owner{Box: "a", Incarnation: 2}, kind)
+		"no hello yet":     {events: func(*peerVersions) {}, version: boxwire.VersionNone, reads: false},
+		"an earlier build": {events: func(p *peerVersions) { p.recordHello(old) }, version: boxwire.VersionNone, reads: false},
+		"this build":       {events: func(p *peerVersions) { p.recordHello(next) }, version: boxwire.VersionLoose, reads: true},
+		"an earlier build that sends the kind itself":     {events: func(p *peerVersions) { p.recordHello(old); p.recordKind(sender, kind) }, version: boxwire.VersionNone, reads: true},
+		"a later process than the one that sent the kind": {events: func(p *peerVersions) { p.recordHello(old); p.recordKind(sender, kind); p.recordHello(next) }, version: boxwire.VersionLoose, reads: true},
+		"an earlier build that replaces this one":         {events: func(p *peerVersions) { p.recordHello(next); p.recordHello(old) }, version: boxwire.VersionNone, reads: false},
+		"a kind sent by an earlier process no longer counts": {events: func(p *peerVersions) {
+			p.recordHello(next)
+			p.recordHello(old)
+			p.recordKind(boxwire.Owner{Box: "a", Incarnation: 2}, kind)
 		}, version: boxwire.VersionNone, reads: false},
-		"a box whose process may have ended":             {happens: func(p *peerVersions) { p.greeted(next); p.forget("a", Peer{Start: 2, Version: boxwire.VersionLoose}) }, version: boxwire.VersionNone, reads: false},
-		"a kind that all builds read, without a version": {happens: func(p *peerVersions) { p.greeted(old); p.heard(sender, boxwire.KindPull) }, version: boxwire.VersionNone, reads: false},
-		"membership tells of one that has not greeted": {
-			happens: func(*peerVersions) {}, told: Peer{Start: 2, Version: boxwire.VersionLoose}, version: boxwire.VersionLoose, reads: true,
+		"a box whose process may have ended": {events: func(p *peerVersions) {
+			p.recordHello(next)
+			p.forget("a", Peer{Start: 2, Version: boxwire.VersionLoose})
+		}, version: boxwire.VersionNone, reads: false},
+		"a kind that all builds read, without a version": {events: func(p *peerVersions) { p.recordHello(old); p.recordKind(sender, boxwire.KindPull) }, version: boxwire.VersionNone, reads: false},
+		"no hello yet, but known from membership": {
+			events: func(*peerVersions) {}, member: Peer{Start: 2, Version: boxwire.VersionLoose}, version: boxwire.VersionLoose, reads: true,
 		},
-		"membership tells of a later process": {
-			happens: func(p *peerVersions) { p.greeted(old) }, told: Peer{Start: 2, Version: boxwire.VersionLoose}, version: boxwire.VersionLoose, reads: true,
+		"membership knows a later process": {
+			events: func(p *peerVersions) { p.recordHello(old) }, member: Peer{Start: 2, Version: boxwire.VersionLoose}, version: boxwire.VersionLoose, reads: true,
 		},
-		"a greeting goes before what others say": {
-			happens: func(p *peerVersions) { p.greeted(next) }, told: Peer{Start: 2}, version: boxwire.VersionLoose, reads: true,
+		"a hello takes precedence over membership": {
+			events: func(p *peerVersions) { p.recordHello(next) }, member: Peer{Start: 2}, version: boxwire.VersionLoose, reads: true,
 		},
-		"what was told of a process that may have ended": {
-			happens: func(p *peerVersions) { p.forget("a", Peer{Start: 2, Version: boxwire.VersionLoose}) },
-			told:    Peer{Start: 2, Version: boxwire.VersionLoose}, version: boxwire.VersionNone,
+		"membership knows a process that may have ended": {
+			events: func(p *peerVersions) { p.forget("a", Peer{Start: 2, Version: boxwire.VersionLoose}) },
+			member: Peer{Start: 2, Version: boxwire.VersionLoose}, version: boxwire.VersionNone,
 		},
-		"the process that follows it": {
-			happens: func(p *peerVersions) { p.forget("a", Peer{Start: 2}) },
-			told:    Peer{Start: 3, Version: boxwire.VersionLoose}, version: boxwire.VersionLoose, reads: true,
+		"the process that replaces it": {
+			events: func(p *peerVersions) { p.forget("a", Peer{Start: 2}) },
+			member: Peer{Start: 3, Version: boxwire.VersionLoose}, version: boxwire.VersionLoose, reads: true,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var p peerVersions
-			c.happens(&p)
-			version, reads := p.of("a", c.told, kind)
+			c.events(&p)
+			version, reads := p.of("a", c.member, kind)
 			if version != c.version || reads != c.reads {
 				t.Fatalf("version %d, reads %v", version, reads)
 			}
-			if _, reads := p.of("a", c.told, boxwire.KindPull); !reads {
+			if _, reads := p.of("a", c.member, boxwire.KindPull); !reads {
 				t.Fatal("a kind that all builds read is not sent")
 			}
 		})
@@ -75,7 +78,7 @@
 }
 
 func TestUnknownKinds(t *testing.T) {
-	convey.Convey("What a later build says is passed over and counted, and its connection goes on", t, func() {
+	convey.Convey("Unknown messages of a later build are skipped and counted, and the connection stays open", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
 		ctx, end := context.WithCancel(context.Background())
@@ -113,16 +116,16 @@
 		err  error
 		want boxwire.Version
 	}{
-		"a refusal":  {err: &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}, want: boxwire.VersionNone},
-		"a time-out": {err: &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}, want: boxwire.VersionNow},
+		"a refusal": {err: &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}, want: boxwire.VersionNone},
+		"a timeout": {err: &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}, want: boxwire.VersionNow},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			n := New(t.Context(), Config{Box: "b", Log: log.Discard()})
-			n.versions.greeted(&boxwire.Hello{Box: "a", Incarnation: 1, Version: boxwire.VersionNow})
+			n.versions.recordHello(&boxwire.Hello{Box: "a", Incarnation: 1, Version: boxwire.VersionNow})
 			n.dialFailed("a", c.err)
 			if got, _ := n.versions.of("a", Peer{Start: 1}, boxwire.KindPull); got != c.want {
-				t.Errorf("spoken to as version %d, want %d", got, c.want)
+				t.Errorf("version %d, want %d", got, c.want)
 			}
 		})
 	}
