--- a/transport/boxnet/versions_test.go
+++ b/transport/boxnet/versions_test.go
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestWhatFailedDialsProve(t *testing.T) {
+func TestFailedDials(t *testing.T) {
 	cases := map[string]struct {
 		err  error
 		want boxwire.Version
--- a/transport/enginehttp/enginehttp.go
+++ b/transport/enginehttp/enginehttp.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package enginehttp speaks to engines over HTTP. It uses the standard
-// library's client because an order must be cut at once when its request
-// ends, which that client ties to a context.
+// Package enginehttp is the HTTP client for engines. It uses the net/http client because an order
+// must be canceled at once when its request ends, and that client does so through the context.
 package enginehttp
 
 import (
@@ -28,12 +27,12 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is not a stream, in bytes.
+	// maxAnswer limits an answer other than a stream, in bytes.
 	maxAnswer = 8 << 20
-	// maxLine bounds one line of a stream.
+	// maxLine limits one line of a stream, in bytes.
 	maxLine = 1 << 20
-	// firstLine is the line buffer's size at the start.
-	firstLine = 512
+	// lineBuffer is the initial size of the line buffer, in bytes.
+	lineBuffer = 512
 )
 
 // Client is an adapter.Engine over HTTP.
@@ -42,27 +41,26 @@
 	notices *notice.Keeper
 }
 
-// Client does what the router asks of an engine.
 var _ adapter.Engine = (*Client)(nil)
 
-// New makes a client, which notes what engines say of themselves.
+// New returns a client that records the notices in engines' answers.
 func New(notices *notice.Keeper) *Client {
 	return &Client{clients: httpcall.New(), notices: notices}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.clients.Close()
 }
 
-// Prefill orders a prefill and waits for its end.
+// Prefill orders a prefill and waits for its result.
 func (c *Client) Prefill(ctx context.Context, e table.Endpoint, attempt lifecycle.AttemptID, p adapter.Prompt, once bool) (adapter.Prefilled, error) {
 	var out engineapi.PrefillResult
 	if err := c.call(ctx, attempt.String(), once, e, engineapi.PathPrefill, prefillOrder(attempt, p), &out); err != nil {
 		return adapter.Prefilled{}, err
 	}
 	if out.Attempt != attempt.String() {
-		return adapter.Prefilled{}, crossed(attempt.String(), out.Attempt)
+		return adapter.Prefilled{}, errWrongAttempt(attempt.String(), out.Attempt)
 	}
 	return adapter.Prefilled{
 		Tokens:    out.Tokens,
@@ -83,12 +81,12 @@
 	}
 }
 
-// crossed is the failure for an answer that belongs to another attempt.
-func crossed(want, got string) error {
-	return adapter.ErrMayHaveRun.New("answer for attempt %q where %q was asked", got, want)
+// errWrongAttempt returns the error for an answer that belongs to another attempt.
+func errWrongAttempt(want, got string) error {
+	return adapter.ErrMayHaveRun.New("answer for attempt %q, want %q", got, want)
 }
 
-// Import orders a transfer and waits for its end.
+// Import orders the transfer of a prefill result from another engine and waits for its end.
 func (c *Client) Import(ctx context.Context, to, from table.Endpoint, attempt lifecycle.AttemptID, i adapter.Import) error {
 	order := engineapi.ImportOrder{
 		Attempt:      attempt.String(),
@@ -101,12 +99,13 @@
 		return err
 	}
 	if out.Attempt != attempt.String() {
-		return crossed(attempt.String(), out.Attempt)
+		return errWrongAttempt(attempt.String(), out.Attempt)
 	}
 	return nil
 }
 
-// Decode orders an answer and passes its tokens on.
+// Decode orders a decode and passes its tokens to each until the stream ends or each returns
+// false.
 func (c *Client) Decode(ctx context.Context, e table.Endpoint, attempt lifecycle.AttemptID, d adapter.Decode, once bool, each func(adapter.Token) bool) error {
 	order := engineapi.DecodeOrder{
 		Attempt:      attempt.String(),
@@ -123,15 +122,15 @@
 	if err != nil {
 		return err
 	}
-	defer drop(resp)
+	defer discard(resp)
 	return readTokens(resp.Body, each)
 }
 
-// readTokens reads one JSON line per token. Whatever goes wrong here, the
-// engine had taken the order.
+// readTokens reads one JSON line per token. Its errors are adapter.ErrDidRun, since the engine
+// had accepted the order.
 func readTokens(body io.Reader, each func(adapter.Token) bool) error {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, firstLine), maxLine)
+	lines.Buffer(make([]byte, 0, lineBuffer), maxLine)
 	for lines.Scan() {
 		var t engineapi.TokenLine
 		if err := json.Unmarshal(lines.Bytes(), &t); err != nil {
@@ -147,12 +146,12 @@
 	return nil
 }
 
-// Release frees an attempt's memory.
+// Release frees what the engine holds for an attempt.
 func (c *Client) Release(ctx context.Context, e table.Endpoint, attempt string) error {
 	return c.call(ctx, attempt, false, e, engineapi.PathRelease, engineapi.ReleaseOrder{Attempt: attempt}, nil)
 }
 
-// Holds lists what the engine keeps.
+// Holds lists the engine's holds.
 func (c *Client) Holds(ctx context.Context, e table.Endpoint) ([]adapter.Hold, error) {
 	var out engineapi.Holds
 	if err := c.get(ctx, e, engineapi.PathHolds, &out); err != nil {
@@ -165,7 +164,7 @@
 	return holds, nil
 }
 
-// Load reads the engine's report.
+// Load reads the engine's load report.
 func (c *Client) Load(ctx context.Context, e table.Endpoint) (adapter.Load, error) {
 	var out engineapi.Load
 	err := c.get(ctx, e, engineapi.PathLoad, &out)
@@ -186,13 +185,13 @@
 	return page, nil
 }
 
-// Order gives a fenced order.
+// Order sends a fenced order.
 func (c *Client) Order(ctx context.Context, e table.Endpoint, o adapter.Order) error {
 	order := engineapi.Order{Fence: o.Fence, Kind: o.Kind, Value: o.Value}
 	return c.call(ctx, "", true, e, engineapi.PathOrder, order, nil)
 }
 
-// call sends an order and reads its answer into out, if out is not nil.
+// call sends an order and decodes its answer into out, if out is not nil.
 func (c *Client) call(ctx context.Context, attempt string, once bool, e table.Endpoint, path string, in, out any) error {
 	resp, err := c.send(ctx, attempt, once, e, path, in)
 	if err != nil {
@@ -201,6 +200,7 @@
 	return readAnswer(resp, out)
 }
 
+// get reads a path of the engine and decodes the answer into out.
 func (c *Client) get(ctx context.Context, e table.Endpoint, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Address+path, nil)
 	if err != nil {
@@ -210,13 +210,14 @@
 	if err != nil {
 		return fmt.Errorf("engine %s: %w", e.Name, err)
 	}
-	if err := refusalOf(resp); err != nil {
+	if err := checkStatus(resp); err != nil {
 		return err
 	}
 	return readAnswer(resp, out)
 }
 
-// send posts an order and returns the answer if the engine took the order.
+// send posts an order and returns the answer if the engine accepted it. The error type tells
+// whether the order may have run.
 func (c *Client) send(ctx context.Context, attempt string, once bool, e table.Endpoint, path string, in any) (*http.Response, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -232,35 +233,36 @@
 	}
 	resp, err := c.clients.Pick(once).Do(req)
 	if err != nil {
-		return nil, httpcall.TypeAfter(err).Wrap(err, "engine %s", e.Name)
+		return nil, httpcall.ErrorType(err).Wrap(err, "engine %s", e.Name)
 	}
 	c.notices.Answered(notice.Answered{
 		Request: attempt, Endpoint: e.Name, Restarts: true,
 		Notice: relayapi.Default().ParseNotice(resp.StatusCode, resp.Header.Get),
-		// Other orders are no requests, and their answers may name no limit.
+		// Only prefill and decode orders carry requests; answers to others may omit the
+		// limit.
 		Served: resp.StatusCode == http.StatusOK && (path == engineapi.PathPrefill || path == engineapi.PathDecode),
 	})
-	if err := refusalOf(resp); err != nil {
+	if err := checkStatus(resp); err != nil {
 		return nil, err
 	}
 	return resp, nil
 }
 
-// refusalOf turns an answer that is not 200 into an error.
-func refusalOf(resp *http.Response) error {
+// checkStatus returns an error for an answer other than 200, whose body it closes.
+func checkStatus(resp *http.Response) error {
 	if resp.StatusCode == http.StatusOK {
 		return nil
 	}
-	defer drop(resp)
+	defer discard(resp)
 	var body engineapi.Error
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&body); err != nil {
 		body.Error = resp.Status
 	}
-	return typeOf(body.Code).New("engine answered %d: %s", resp.StatusCode, body.Error)
+	return errorType(body.Code).New("engine answered %d: %s", resp.StatusCode, body.Error)
 }
 
-// typeOf says what an engine's own error code proves.
-func typeOf(code string) *errorx.Type {
+// errorType maps an engine's error code to what it proves about the order.
+func errorType(code string) *errorx.Type {
 	switch code {
 	case engineapi.CodeNotAccepted, engineapi.CodeStaleFence:
 		return adapter.ErrNotRun
@@ -273,8 +275,9 @@
 	}
 }
 
+// readAnswer decodes an answer into out, if out is not nil, and closes it.
 func readAnswer(resp *http.Response, out any) error {
-	defer drop(resp)
+	defer discard(resp)
 	if out == nil {
 		return nil
 	}
@@ -284,12 +287,12 @@
 	return nil
 }
 
-// maxDrain bounds what is read to keep a connection; a stream is cut instead.
-const maxDrain = 4 << 10
+// maxDiscard is how much of an answer is read to reuse its connection, in bytes. The connection
+// of a longer answer, such as a stream, is closed instead.
+const maxDiscard = 4 << 10
 
-// drop ends an answer. What is left of it is read if it is little, so that
-// the connection can be used again.
-func drop(resp *http.Response) {
-	_, _ = io.CopyN(io.Discard, resp.Body, maxDrain)
+// discard closes an answer. It first reads a short rest, so that the connection can be reused.
+func discard(resp *http.Response) {
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDiscard)
 	_ = resp.Body.Close()
 }
--- a/transport/httpcall/httpcall.go
+++ b/transport/httpcall/httpcall.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package httpcall is what all calls from a box to endpoints share: clients
-// that never send an order a second time by themselves when told so, and what
-// a failed exchange proves.
+// Package httpcall holds what the HTTP calls from a box to endpoints share: clients that, on
+// request, never send an order a second time by themselves, and the error type of a failed call.
 package httpcall
 
 import (
@@ -18,32 +17,32 @@
 )
 
 const (
-	// maxIdle bounds the idle connections to one endpoint.
-	maxIdle  = 64
-	idleTime = 30 * time.Second
-	dialTime = 2 * time.Second
+	// maxIdle limits the idle connections to one endpoint.
+	maxIdle     = 64
+	idleTimeout = 30 * time.Second
+	dialTimeout = 2 * time.Second
 )
 
-// Clients is a pair of clients.
+// Clients holds two clients that differ in whether they reuse connections.
 type Clients struct {
-	// Shared keeps connections; Fresh opens one for each order, so that
-	// nothing below this package sends an order twice.
+	// Shared reuses connections. Fresh opens one for each order, so that net/http never
+	// sends an order again after a reused connection failed.
 	Shared *http.Client
 	Fresh  *http.Client
 }
 
-// New makes the pair. Redirects are handed back, not followed.
+// New returns the clients. They return redirects instead of following them.
 func New() Clients {
 	return Clients{Shared: newClient(false), Fresh: newClient(true)}
 }
 
 func newClient(fresh bool) *http.Client {
-	dialer := &net.Dialer{Timeout: dialTime}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
 			MaxIdleConnsPerHost: maxIdle,
-			IdleConnTimeout:     idleTime,
+			IdleConnTimeout:     idleTimeout,
 			DisableKeepAlives:   fresh,
 			DisableCompression:  true,
 		},
@@ -51,7 +50,7 @@
 	}
 }
 
-// Pick chooses the client for an order that may or may not be repeated.
+// Pick returns the client for an order; once means that it must not be repeated.
 func (c Clients) Pick(once bool) *http.Client {
 	if once {
 		return c.Fresh
@@ -59,15 +58,15 @@
 	return c.Shared
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c Clients) Close() {
 	c.Shared.CloseIdleConnections()
 	c.Fresh.CloseIdleConnections()
 }
 
-// TypeAfter says what a failed exchange proves: a connection that was never
-// made carried no order.
-func TypeAfter(err error) *errorx.Type {
+// ErrorType returns the error type of a failed call: adapter.ErrNotRun if the connection was never
+// established, otherwise adapter.ErrMayHaveRun.
+func ErrorType(err error) *errorx.Type {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return adapter.ErrNotRun
--- a/transport/plainhttp/plainhttp.go
+++ b/transport/plainhttp/plainhttp.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package plainhttp passes calls on to plain services over HTTP.
+// Package plainhttp forwards calls to the endpoints of plain services over HTTP.
 package plainhttp
 
 import (
@@ -18,45 +18,45 @@
 	"runridge.example/runridge/transport/httpcall"
 )
 
-// Call is one call as it came from the caller.
+// Call is a call as received from the caller.
 type Call struct {
 	Method string
 	// Target is the path with its query.
 	Target string
 	Header http.Header
 	Body   io.Reader
-	// Length is the body's length, -1 if it is not known.
+	// Length is the body's length in bytes, -1 if it is unknown.
 	Length int64
-	// Attempt is what the call is made for.
+	// Attempt is the attempt that the call belongs to.
 	Attempt lifecycle.AttemptID
-	// Once forbids the transport to send the call a second time by itself.
+	// Once forbids the HTTP client to send the call a second time by itself.
 	Once bool
 }
 
-// Client passes calls on.
+// Client forwards calls to endpoints.
 type Client struct {
 	clients httpcall.Clients
 	notices *notice.Keeper
 }
 
-// New makes a client, which notes what endpoints say of themselves.
+// New returns a client that records the notices in endpoints' answers.
 func New(notices *notice.Keeper) *Client {
 	return &Client{clients: httpcall.New(), notices: notices}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.clients.Close()
 }
 
-// hopByHop are the headers that are between two neighbours only (RFC 9110,
-// section 7.6.1).
+// hopByHop lists the hop-by-hop headers (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Strip removes the headers that must not be passed on.
+// Strip removes the headers that must not be forwarded: the hop-by-hop headers and those listed in
+// Connection.
 func Strip(h http.Header) {
 	for _, named := range strings.Split(h.Get("Connection"), ",") {
 		h.Del(strings.TrimSpace(named))
@@ -66,8 +66,8 @@
 	}
 }
 
-// Do sends a call to an endpoint and returns its answer, whose body the caller
-// of Do closes. Errors say what they prove, as those of an engine do.
+// Do sends a call to an endpoint and returns its answer. The caller of Do has to close the answer's
+// body. Errors are adapter.ErrNotRun or adapter.ErrMayHaveRun.
 func (c *Client) Do(ctx context.Context, e table.Endpoint, call Call) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+e.Address+call.Target, call.Body)
 	if err != nil {
@@ -75,11 +75,11 @@
 	}
 	req.Header = call.Header.Clone()
 	req.ContentLength = call.Length
-	// Without this the library could send the body again by itself.
+	// With GetBody, net/http could send the body again by itself.
 	req.GetBody = nil
 	resp, err := c.clients.Pick(call.Once).Do(req)
 	if err != nil {
-		return nil, httpcall.TypeAfter(err).Wrap(err, "endpoint %s", e.Name)
+		return nil, httpcall.ErrorType(err).Wrap(err, "endpoint %s", e.Name)
 	}
 	c.notices.Answered(notice.Answered{
 		Request: call.Attempt.String(), Endpoint: e.Name, Restarts: true,
--- a/transport/platformhttp/platformhttp.go
+++ b/transport/platformhttp/platformhttp.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package platformhttp speaks to the platform's object API over HTTP.
+// Package platformhttp is the HTTP client for the platform's object API.
 package platformhttp
 
 import (
@@ -20,11 +20,12 @@
 	"runridge.example/runridge/protocol/platformapi"
 )
 
-// watchMargin is how much sooner the platform answers a watch than the
-// context ends, so that the answer is not lost.
+// watchMargin is how long before the context's deadline the platform is asked to answer a watch, so
+// that the answer isn't lost.
 const watchMargin = 500 * time.Millisecond
 
-// maxAnswer bounds an answer: a value and what stands around it.
+// maxAnswer limits an answer, in bytes. It leaves room for a value of the largest size and the JSON
+// around it.
 const maxAnswer = 2 * platformapi.MaxValue
 
 // Client is an adapter.Platform over HTTP.
@@ -33,20 +34,19 @@
 	http    *http.Client
 }
 
-// Client does what the router asks of the platform.
 var _ adapter.Platform = (*Client)(nil)
 
-// New makes a client of the API at an IP number and port.
+// New returns a client for the API at address, an IP address and port.
 func New(address string) *Client {
 	return &Client{address: address, http: &http.Client{Transport: &http.Transport{}}}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
 
-// Get reads an object, or waits for a version above after.
+// Get reads an object. If after is not 0, it first waits for a version above after.
 func (c *Client) Get(ctx context.Context, name string, after uint64) (adapter.Object, error) {
 	query := url.Values{}
 	if after > 0 {
@@ -61,12 +61,14 @@
 	return adapter.Object{Version: o.Version, Value: o.Value}, err
 }
 
-// GetOld reads an object; the product's own platform has only one kind of read.
+// GetOld reads an object. It is the same as Get without a wait, since this platform has only one
+// kind of read.
 func (c *Client) GetOld(ctx context.Context, name string) (adapter.Object, error) {
 	return c.Get(ctx, name, 0)
 }
 
-// Put writes an object if its version is still the given one.
+// Put writes an object if its version is still the given one, and returns the new version.
+// Otherwise it returns adapter.ErrConflict.
 func (c *Client) Put(ctx context.Context, name string, version uint64, value []byte) (uint64, error) {
 	query := url.Values{platformapi.QueryVersion: {strconv.FormatUint(version, 10)}}
 	var o platformapi.Object
@@ -87,6 +89,7 @@
 	return out, nil
 }
 
+// do sends a request and decodes the JSON answer into out.
 func (c *Client) do(ctx context.Context, method, path string, query url.Values, body []byte, out any) error {
 	target := url.URL{Scheme: "http", Host: c.address, Path: path, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, method, target.String(), bytes.NewReader(body))
--- a/transport/reach/reach_test.go
+++ b/transport/reach/reach_test.go
@@ -10,7 +10,7 @@
 	"runridge.example/runridge/coordination/adapter"
 )
 
-// listen takes connections and does something with each. It returns its address.
+// listen accepts connections and calls do with each. It returns the address.
 func listen(t *testing.T, do func(c *net.TCPConn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,7 +24,7 @@
 			if err != nil {
 				return
 			}
-			// It is open until the listener is not.
+			// The connection stays open until the listener is closed.
 			defer func() { _ = c.Close() }()
 			do(c.(*net.TCPConn))
 		}
@@ -51,7 +51,7 @@
 			}
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("nothing listens", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
--- a/transport/upstream/upstream_test.go
+++ b/transport/upstream/upstream_test.go
@@ -167,7 +167,7 @@
 	})
 }
 
-func TestWhatFailuresProve(t *testing.T) {
+func TestFailureTypes(t *testing.T) {
 	convey.Convey("A refused connection proves that the request did not run", t, func() {
 		s, c := newServer(t), client()
 		e := s.endpoint()
