--- a/protocol/boxwire/boxwire.go
+++ b/protocol/boxwire/boxwire.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package boxwire is what boxes say to each other: msgpack messages in frames
-// of a kind, a length and a body, over TCP. Each message is one way; answers
-// are messages of their own and are matched by attempt. At the two-year size
-// the bytes between boxes are the tightest budget, so fields go by position
-// and names by their hash.
+// Package boxwire defines the messages that boxes exchange over TCP: msgpack
+// bodies in frames of a kind, a length and a body. Messages are one-way; an
+// answer is a message of its own and is matched to its question by attempt. At
+// the fleet size planned for in two years, the bytes between boxes are the
+// tightest budget, so struct fields are encoded by position and names as hashes.
 package boxwire
 
 import (
@@ -25,10 +25,10 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Kind tells the messages apart on the wire.
+// Kind is the message type as written in a frame's header.
 type Kind uint8
 
-// The kinds. Numbers are never used again for something else.
+// Message kinds. The number of a kind is never reused for another one.
 const (
 	KindHello Kind = iota + 1
 	KindAsk
@@ -59,159 +59,161 @@
 	KindSuspects
 	KindSuspectsPull
 	KindLimits
-	// kindEnd comes after the last.
+	// kindEnd is one above the last kind.
 	kindEnd
 )
 
 const (
-	// MaxFrame bounds one frame's body, in bytes. Only a whole table and a whole
-	// directory come near.
+	// MaxFrame is the largest body of a frame, in bytes. Only a whole table and
+	// a whole directory of endpoints come near it.
 	MaxFrame = 4 << 20
-	// maxSmall bounds every other message: an item of a list is a byte on the
-	// wire and much more in memory.
-	maxSmall = 64 << 10
+	// maxSmallFrame is the largest body of every other message, in bytes. It is
+	// low because a list item of one byte on the wire takes far more in memory.
+	maxSmallFrame = 64 << 10
 )
 
-// limit is the most that a message's body may have.
+// limit returns the largest body of a message of the kind, in bytes.
 func (k Kind) limit() int {
 	if k == KindChange || k == KindUpdate {
 		return MaxFrame
 	}
-	return maxSmall
+	return maxSmallFrame
 }
 
-// ErrFrame is returned for a frame that breaks the rules, and ErrNotRead for a message that
-// its receiver does not read.
+// ErrFrame is returned for a malformed or oversized frame, and ErrNotRead for a message of a
+// kind that the receiver's build does not support.
 var (
 	ErrFrame   = errors.New("bad frame")
 	ErrNotRead = errors.New("message is not read there")
 )
 
-// Message is one of the message types of this package.
+// Message is implemented by pointers to all message types of this package.
 type Message interface {
 	Kind() Kind
 }
 
-// compressed is a message part of which may be compressed.
-type compressed interface {
-	// unpacked is the message for builds that do not read that.
-	unpacked() (Message, error)
+// compressible is a message that may have a compressed part.
+type compressible interface {
+	// uncompressed returns the message in plain form, for builds that cannot read the
+	// compressed part.
+	uncompressed() (Message, error)
 }
 
-// Hello opens a connection and says who speaks.
+// Hello is the greeting that opens a connection and identifies the sender.
 type Hello struct {
 	Box         string
 	Incarnation uint64
-	// Proof is the HMAC over the greeting when boxes share a key.
+	// Proof is the HMAC over the greeting; set only if the boxes share a key.
 	Proof []byte
-	// Version is what the box reads.
+	// Version tells which messages the box can read.
 	Version Version
 }
 
-// Member is a message of the membership protocol. Generation is the sender's
-// table, so that boxes that missed a change notice, and AgeMS how long ago the
-// platform last confirmed it, as far as the sender knows; -1 is not known. Drained is
-// the version of the drained zones that it knows, and Suspects the digest of the suspected
-// requests.
+// Member is a message of the membership protocol. Generation is that of the
+// sender's table, so that boxes that missed a change of it find out. AgeMS is how
+// long ago the platform last confirmed that table, as far as the sender knows; -1 means
+// unknown. Drained is the version of the drained zones that the sender knows, and Suspects
+// the digest of the suspected requests.
 type Member struct {
 	Message    member.Message
 	Generation uint64
 	AgeMS      int64
 	Drained    drain.Version
 	Suspects   uint64
-	// Packed are the message's updates, compressed, where there are many.
+	// Packed holds the message's updates in compressed form if there are many.
 	Packed []byte
-	// DrainedEra is the era of Drained's revision.
+	// DrainedEra is the era of the revision in Drained.
 	DrainedEra Era
-	// Version is the operator's number of the sender's table; 0 is not told.
+	// Version is the version that the operator gave the sender's table; 0 means not stated.
 	Version uint64
 }
 
-// WithDrained returns the message with the version of the drained zones.
+// WithDrained returns a copy of the message that carries the version of the drained zones.
 func (m Member) WithDrained(v drain.Version) Member {
 	m.DrainedEra = EraOf(v.Revision)
 	m.Drained = drain.Version{Revision: position.Revision(v.Revision), Digest: v.Digest}
 	return m
 }
 
-// DrainedVersion is the version of the drained zones that the message tells to a box which
-// knows them as of a position.
-func (m *Member) DrainedVersion(as uint64) drain.Version {
-	return drain.Version{Revision: m.DrainedEra.position(m.Drained.Revision, as), Digest: m.Drained.Digest}
+// DrainedVersion returns the version of the drained zones in the message, for a receiver
+// whose own knowledge of them is as of the position receiverAt.
+func (m *Member) DrainedVersion(receiverAt uint64) drain.Version {
+	return drain.Version{Revision: m.DrainedEra.position(m.Drained.Revision, receiverAt), Digest: m.Drained.Digest}
 }
 
-// Table is the sender's table.
+// Table returns the stamp of the sender's table.
 func (m *Member) Table() table.Stamp {
 	return table.Stamp{Version: m.Version, Generation: m.Generation}
 }
 
-// Change carries a change of the table, as compressed JSON: it is read by people in
-// traces, and a table is JSON everywhere else.
+// Change carries a change of the table as compressed JSON. It is JSON because people read it
+// in traces and a table is JSON everywhere else.
 type Change struct {
 	Delta []byte
 }
 
-// Pull asks for what came after a table: its generation, and its number by the operator, 0 if
-// that is not told.
+// Pull asks for the changes since the table that the sender has. Have is that table's
+// generation, and Version the version that the operator gave it; 0 means not stated.
 type Pull struct {
 	Have    uint64
 	Version uint64
 }
 
-// Table is the table that the sender has.
+// Table returns the stamp of the table that the sender has.
 func (m *Pull) Table() table.Stamp { return table.Stamp{Version: m.Version, Generation: m.Have} }
 
-// Update tells what has changed among the endpoints. Generation is the sender's
-// table. Many changes are in Packed, compressed.
+// Update spreads changes of endpoints. Generation is that of the sender's table. If
+// there are many changes, they are in Packed, compressed, and not in Update.
 type Update struct {
 	Update     directory.Update
 	Generation uint64
 	Packed     []byte
-	// Era is that of the update's revisions.
+	// Era is the era of the update's revisions.
 	Era Era
-	// Version is the operator's number of the sender's table; 0 is not told.
+	// Version is the version that the operator gave the sender's table; 0 means not stated.
 	Version uint64
 }
 
-// Table is the sender's table.
+// Table returns the stamp of the sender's table.
 func (m *Update) Table() table.Stamp {
 	return table.Stamp{Version: m.Version, Generation: m.Generation}
 }
 
-// UpdatePull asks for the changes of endpoints after a position; 0 asks for all.
+// UpdatePull asks for the changes of endpoints after the revision Have; 0 asks for all.
 type UpdatePull struct {
 	Have uint64
 	Era  Era
 }
 
-// NewUpdatePull asks for the changes after a position.
+// NewUpdatePull returns a message that asks for the changes after a position.
 func NewUpdatePull(have uint64) *UpdatePull {
 	return &UpdatePull{Have: position.Revision(have), Era: EraOf(have)}
 }
 
-// Position is that after which a box at a position is asked for changes.
-func (m *UpdatePull) Position(as uint64) uint64 { return m.Era.position(m.Have, as) }
+// Position returns the position after which changes are asked for; receiverAt is the
+// receiver's own position.
+func (m *UpdatePull) Position(receiverAt uint64) uint64 { return m.Era.position(m.Have, receiverAt) }
 
-// Kind is KindUpdate.
+// Kind returns KindUpdate.
 func (*Update) Kind() Kind { return KindUpdate }
 
-// Kind is KindUpdatePull.
+// Kind returns KindUpdatePull.
 func (*UpdatePull) Kind() Kind { return KindUpdatePull }
 
-// Kind is KindHello.
+// Kind returns KindHello.
 func (*Hello) Kind() Kind { return KindHello }
 
-// Kind is KindMember.
+// Kind returns KindMember.
 func (*Member) Kind() Kind { return KindMember }
 
-// Kind is KindChange.
+// Kind returns KindChange.
 func (*Change) Kind() Kind { return KindChange }
 
-// Kind is KindPull.
+// Kind returns KindPull.
 func (*Pull) Kind() Kind { return KindPull }
 
-// blanks makes an empty message of each kind.
-var blanks = map[Kind]func() Message{
+// emptyMessages has a constructor of an empty message for each kind.
+var emptyMessages = map[Kind]func() Message{
 	KindHello:      func() Message { return &Hello{} },
 	KindAsk:        func() Message { return &Ask{} },
 	KindGrant:      func() Message { return &Grant{} },
@@ -247,14 +249,15 @@
 	KindLimits: func() Message { return &Limits{} },
 }
 
-// Append adds the frame of a message to buf, as builds of a version read it.
+// Append appends the frame of a message to buf, encoded for a receiver of version v. It
+// returns ErrNotRead if that version does not read the kind, and ErrFrame if the body is too large.
 func Append(buf []byte, m Message, v Version) ([]byte, error) {
 	if !v.Reads(m.Kind()) {
 		return buf, fmt.Errorf("%w: kind %s, version %d", ErrNotRead, m.Kind(), v)
 	}
-	if p, ok := m.(compressed); ok && v == VersionNone {
+	if p, ok := m.(compressible); ok && v == VersionNone {
 		var err error
-		if m, err = p.unpacked(); err != nil {
+		if m, err = p.uncompressed(); err != nil {
 			return buf, err
 		}
 	}
@@ -262,7 +265,7 @@
 	encoder := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(encoder)
 	encoder.Reset(&body)
-	// Fields go by position: names would be most of a small message.
+	// Encode fields by position: their names would be most of a small message.
 	encoder.UseArrayEncodedStructs(v != VersionNone)
 	encoder.SetOmitEmpty(v == VersionNone)
 	encoder.UseCompactInts(true)
@@ -277,22 +280,22 @@
 	return append(buf, body.Bytes()...), nil
 }
 
-// Reader is what messages are read from; a bufio.Reader is one.
+// Reader is a source of frames, such as a bufio.Reader.
 type Reader interface {
 	io.Reader
 	io.ByteReader
 }
 
-// Read takes one message from r. It reads no more than MaxFrame and the header. A message
-// that this build does not know, or cannot read, is an Unknown; an error is a frame that
-// cannot be cut, after which nothing can be read.
+// Read reads one message from r, at most the header and MaxFrame bytes. It returns an Unknown
+// for a message of an unknown kind or one whose body this build cannot decode; reading may go on
+// after it. After an error the boundaries of frames are lost and nothing more can be read from r.
 func Read(r Reader) (Message, error) {
 	code, err := r.ReadByte()
 	if err != nil {
 		return nil, err
 	}
 	kind := Kind(code)
-	blank, known := blanks[kind]
+	blank, known := emptyMessages[kind]
 	limit := MaxFrame
 	if known {
 		limit = kind.limit()
@@ -321,12 +324,12 @@
 	return m, nil
 }
 
-// decode reads a value from the bytes of a body.
+// decode decodes the bytes of a body into the value that into points to.
 func decode(body []byte, into any) error {
-	// The library makes room for as many items as a list says that it has. So
-	// the body is walked first: a list that says more than is there ends here.
+	// The library allocates as many items as a list's header claims. So skip
+	// through the body first: a list that claims more items than it has fails here.
 	if err := msgpack.NewDecoder(bytes.NewReader(body)).Skip(); err != nil {
 		return err
 	}
-	return decodeLoose(msgpack.NewDecoder(bytes.NewReader(body)), reflect.ValueOf(into).Elem())
+	return decodeLenient(msgpack.NewDecoder(bytes.NewReader(body)), reflect.ValueOf(into).Elem())
 }
--- a/protocol/boxwire/boxwire_test.go
+++ b/protocol/boxwire/boxwire_test.go
@@ -29,7 +29,7 @@
 	return lifecycle.AttemptID{Request: request, Number: 2}
 }
 
-// samples are messages as they come back from their own forms.
+// samples returns messages that decode to equal messages after they are encoded.
 func samples() []Message {
 	id := attempt()
 	return []Message{
@@ -55,9 +55,9 @@
 }
 
 func TestKindsHaveNames(t *testing.T) {
-	for k := range blanks {
+	for k := range emptyMessages {
 		if int(k) >= Kinds || k.String() == "unknown" {
-			t.Errorf("kind %d is counted as %q among %d kinds", k, k, Kinds)
+			t.Errorf("kind %d has the name %q, of %d kinds", k, k, Kinds)
 		}
 	}
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-// namesIn are the names of a table.
-func namesIn(t table.Table) []string {
+// tableNames returns the names of the groups, endpoints and accounts of a table.
+func tableNames(t table.Table) []string {
 	var out []string
 	for _, g := range t.Groups() {
 		out = append(out, g.Key)
@@ -92,7 +92,7 @@
 func TestNamesAndAttemptsComeBack(t *testing.T) {
 	convey.Convey("An ask", t, func() {
 		table, _ := example.Table(example.Bogota)
-		names := NewNames(namesIn(table))
+		names := NewNames(tableNames(table))
 		want := schedule.Ask{
 			ID: attempt(), Box: owner.Box, Account: "mesa-sur", PromptTokens: 900, OutputTokens: 64,
 			Marks: []uint64{11, 12}, MarkTokens: []int{256, 512}, Waited: 3 * time.Millisecond,
@@ -118,8 +118,8 @@
 	})
 }
 
-// FuzzRead shows that no bytes make the reader panic or take more than its
-// bound, and that what it takes it can write again.
+// FuzzRead checks that no input makes Read panic or exceed its bound, and that
+// messages that were read can be encoded again.
 func FuzzRead(f *testing.F) {
 	for _, m := range samples() {
 		frame, err := Append(nil, m, VersionNow)
--- a/protocol/boxwire/drain.go
+++ b/protocol/boxwire/drain.go
@@ -10,14 +10,14 @@
 	"runridge.example/runridge/state/position"
 )
 
-// Drained are the drained availability zones as a box knows them.
+// Drained carries the drained availability zones as the sender knows them.
 type Drained struct {
-	// Update has the store's own revisions in place of positions.
+	// Update holds the store's own revisions where positions are expected; Era is theirs.
 	Update drain.Update
 	Era    Era
 }
 
-// FromDrained converts drained zones to their message.
+// FromDrained converts an update of the drained zones to its message.
 func FromDrained(u drain.Update) *Drained {
 	era := EraOf(u.At)
 	u.At, u.Revision = position.Revision(u.At), position.Revision(u.Revision)
@@ -28,22 +28,22 @@
 	return &Drained{Update: u, Era: era}
 }
 
-// Open gives the drained zones that the message tells to a box that stands at a position.
-func (m *Drained) Open(as uint64) drain.Update {
+// Open converts the message back to an update; receiverAt is the receiver's own position.
+func (m *Drained) Open(receiverAt uint64) drain.Update {
 	u := m.Update
-	u.At, u.Revision = m.Era.position(u.At, as), m.Era.position(u.Revision, as)
+	u.At, u.Revision = m.Era.position(u.At, receiverAt), m.Era.position(u.Revision, receiverAt)
 	u.Drained = slices.Clone(u.Drained)
 	for i := range u.Drained {
-		u.Drained[i].Revision = m.Era.position(u.Drained[i].Revision, as)
+		u.Drained[i].Revision = m.Era.position(u.Drained[i].Revision, receiverAt)
 	}
 	return u
 }
 
-// DrainedPull asks for them.
+// DrainedPull asks for the drained zones that the receiver knows.
 type DrainedPull struct{}
 
-// Kind is the message's kind.
+// Kind returns KindDrained.
 func (*Drained) Kind() Kind { return KindDrained }
 
-// Kind is the message's kind.
+// Kind returns KindDrainedPull.
 func (*DrainedPull) Kind() Kind { return KindDrainedPull }
--- a/protocol/boxwire/golden_test.go
+++ b/protocol/boxwire/golden_test.go
@@ -14,8 +14,8 @@
 	"runridge.example/runridge/state/member"
 )
 
-// golden is a message of each kind that all recorded builds have, with the fields that all of
-// them have. testdata/record.sh has this file compiled in those builds too.
+// golden returns a message of each kind that all recorded builds know, with the fields that all
+// of them have. testdata/record.sh compiles this file in those builds too.
 func golden() map[string]Message {
 	about := About{Group: 0x90abcdef, Request: 0x12345678, Number: 3}
 	request := lifecycle.RequestID{Box: "front-bog-a-1", Incarnation: 1_800_000_000_123, Sequence: 77}
--- a/protocol/boxwire/grant.go
+++ b/protocol/boxwire/grant.go
@@ -10,7 +10,8 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// Grant admits an ask.
+// Grant admits an ask and names the engines to use. MoveMS is the estimated time of the
+// transfer of the KV cache alone; 0 means unknown.
 type Grant struct {
 	About
 	Mode    uint8
@@ -18,15 +19,16 @@
 	Decode  Ref
 	Reuse   bool
 	MoveMS  int64
-	// PacedPrefill and PacedDecode say that the request was counted for an engine that is
-	// cold or names a limit, and HeldMS how long the ask was at the home.
+	// PacedPrefill and PacedDecode report whether the request was counted against the pace of
+	// an engine that is cold or names a limit. HeldMS is how long the home kept the ask before
+	// it granted it.
 	PacedPrefill bool
 	PacedDecode  bool
 	HeldMS       int64
 	Limits       []Limit
 }
 
-// Kind is KindGrant.
+// Kind returns KindGrant.
 func (*Grant) Kind() Kind { return KindGrant }
 
 // fromGrant converts a grant to its message.
@@ -46,11 +48,11 @@
 	}
 }
 
-// Decision converts the message back; the owner is this box. Of the ask
-// only its id is known here.
+// Decision converts the message back; the owner is this box. Of the ask, only the
+// id is set. It reports false if the names of the engines are not all known.
 func (g *Grant) Decision(n *Names, o Owner) (schedule.Decision, bool) {
-	prefill, known := n.Name(g.Prefill)
-	decode, found := n.Name(g.Decode)
+	prefill, prefillKnown := n.Name(g.Prefill)
+	decode, decodeKnown := n.Name(g.Decode)
 	return schedule.Grant{
 		Ask:  schedule.Ask{ID: g.ID(o)},
 		Plan: lifecycle.Plan{Mode: lifecycle.Mode(g.Mode), Prefill: prefill, Decode: decode, Reuse: g.Reuse},
@@ -60,8 +62,8 @@
 		PacedDecode:  g.PacedDecode,
 		Held:         time.Duration(g.HeldMS) * time.Millisecond,
 		Limits:       limitsOf(n, g.Limits),
-	}, known && found
+	}, prefillKnown && decodeKnown
 }
 
-// GroupOf is the group that a decision is about.
+// GroupOf returns the group that the decision is about.
 func (g *Grant) GroupOf() Ref { return g.Group }
--- a/protocol/boxwire/group.go
+++ b/protocol/boxwire/group.go
@@ -11,48 +11,49 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// Attempt is an attempt's id on the wire. The box that owns it is one end of
-// the connection, so its name is left out.
+// Attempt is the id of an attempt on the wire. It leaves out the box that owns the
+// attempt, because that box is one end of the connection.
 type Attempt struct {
 	Request uint32
 	Number  uint32
 }
 
-// FromAttempt converts an attempt's id to its form on the wire.
+// FromAttempt converts the id of an attempt to its form on the wire.
 func FromAttempt(id lifecycle.AttemptID) Attempt {
 	return Attempt{Request: id.Request.Packed(), Number: id.Number}
 }
 
-// Owner is the process that attempts belong to: one end of the connection.
+// Owner is the process that attempts belong to; it is one end of the connection.
 type Owner struct {
 	Box         string
 	Incarnation uint64
 }
 
-// ID converts an attempt back.
+// ID returns the id of the attempt, which belongs to o.
 func (a Attempt) ID(o Owner) lifecycle.AttemptID {
 	return lifecycle.AttemptID{Request: lifecycle.Unpack(o.Box, o.Incarnation, a.Request), Number: a.Number}
 }
 
-// About says which attempt of which group a message is about. It is embedded,
-// so that its fields go on the wire without a frame of their own.
+// About identifies the attempt and the group that a message is about. Messages embed
+// it, so that its fields are encoded as fields of the message itself.
 type About struct {
 	Group   Ref
 	Request uint32
 	Number  uint32
 }
 
-// NewAbout names an attempt of a group.
+// NewAbout returns the About of an attempt and its group.
 func NewAbout(group string, id lifecycle.AttemptID) About {
 	return About{Group: RefOf(group), Request: id.Request.Packed(), Number: id.Number}
 }
 
-// ID converts the attempt back.
+// ID returns the id of the attempt, which belongs to o.
 func (a About) ID(o Owner) lifecycle.AttemptID {
 	return Attempt{Request: a.Request, Number: a.Number}.ID(o)
 }
 
-// Ask asks the home of a group for a plan.
+// Ask asks the home of a group for a plan. Its fields are those of schedule.Ask, with
+// names as refs and durations in milliseconds.
 type Ask struct {
 	About
 	Account      Ref
@@ -60,8 +61,8 @@
 	PromptTokens int
 	OutputTokens int
 	Marks        []uint32
-	// MarkTokens is the length of the shortest marked prefix; each further one
-	// is twice as long.
+	// MarkTokens is the length of the shortest marked prefix; each next one is
+	// twice as long.
 	MarkTokens int
 	WaitedMS   int64
 	DeadlineMS int64
@@ -78,14 +79,14 @@
 	Leaving    []Ref
 }
 
-// Refuse turns an ask away.
+// Refuse refuses an ask.
 type Refuse struct {
 	About
 	Reason       string
 	RetryAfterMS int
 }
 
-// Slot names the decode engine of a grant.
+// Slot names the decode engine of a grant that was made without one.
 type Slot struct {
 	About
 	Decode Ref
@@ -94,19 +95,19 @@
 	Limits []Limit
 }
 
-// Queued tells that an ask waits.
+// Queued acknowledges an ask that waits in the queue; its decision follows.
 type Queued struct {
 	About
 }
 
-// Prefilled tells the home that a prefill is done.
+// Prefilled reports to the home that a prefill is done.
 type Prefilled struct {
 	About
 	Computed int
 	WorkedMS int64
 }
 
-// Done tells the home that an attempt is over.
+// Done reports to the home that an attempt is over; its fields are those of schedule.Report.
 type Done struct {
 	About
 	Finished   bool
@@ -120,12 +121,12 @@
 	Answered   bool
 }
 
-// Withdraw takes an ask back.
+// Withdraw cancels an ask.
 type Withdraw struct {
 	About
 }
 
-// Adopt tells a group's new home of a grant that the old one made.
+// Adopt informs the new home of a group of a grant that the old home made.
 type Adopt struct {
 	Ask       Ask
 	Mode      uint8
@@ -134,40 +135,40 @@
 	Prefilled bool
 }
 
-// Check asks the owner of attempts which of them it does not have any more.
-// The answer is one Done for each.
+// Check asks the owner of attempts which of them it no longer has. The answer is one
+// Done for each of these.
 type Check struct {
 	Group Ref
-	// Engine, if there is one, is where memory is held for the attempts.
+	// Engine is the engine that holds memory for the attempts; 0 if there is none.
 	Engine Ref
 	IDs    []Attempt
 }
 
-// Kind is KindAsk.
+// Kind returns KindAsk.
 func (*Ask) Kind() Kind { return KindAsk }
 
-// Kind is KindRefuse.
+// Kind returns KindRefuse.
 func (*Refuse) Kind() Kind { return KindRefuse }
 
-// Kind is KindSlot.
+// Kind returns KindSlot.
 func (*Slot) Kind() Kind { return KindSlot }
 
-// Kind is KindQueued.
+// Kind returns KindQueued.
 func (*Queued) Kind() Kind { return KindQueued }
 
-// Kind is KindPrefilled.
+// Kind returns KindPrefilled.
 func (*Prefilled) Kind() Kind { return KindPrefilled }
 
-// Kind is KindDone.
+// Kind returns KindDone.
 func (*Done) Kind() Kind { return KindDone }
 
-// Kind is KindWithdraw.
+// Kind returns KindWithdraw.
 func (*Withdraw) Kind() Kind { return KindWithdraw }
 
-// Kind is KindAdopt.
+// Kind returns KindAdopt.
 func (*Adopt) Kind() Kind { return KindAdopt }
 
-// Kind is KindCheck.
+// Kind returns KindCheck.
 func (*Check) Kind() Kind { return KindCheck }
 
 // FromAsk converts an ask to its message.
@@ -201,14 +202,14 @@
 	return m
 }
 
-// Ask converts the message back; the owner is who sent it. It reports false when the
-// message names something that this box's table does not have.
+// Ask converts the message back; the owner is the sender. It reports false if an engine in
+// Avoid or Kept is not in this box's table.
 func (a *Ask) Ask(n *Names, o Owner) (schedule.Ask, bool) {
-	avoid, known := n.names(a.Avoid)
-	kept, found := n.Name(a.Kept)
-	account, listed := n.Name(a.Account)
-	if !listed {
-		// A table without accounts serves any; the hash tells them apart.
+	avoid, avoidKnown := n.lookUpAll(a.Avoid)
+	kept, keptKnown := n.Name(a.Kept)
+	account, accountKnown := n.Name(a.Account)
+	if !accountKnown {
+		// A table without accounts serves any account; the hash keeps them distinct.
 		account = fmt.Sprintf("#%08x", uint32(a.Account))
 	}
 	out := schedule.Ask{
@@ -229,17 +230,17 @@
 		GiveUp:       time.Duration(a.GiveUpMS) * time.Millisecond,
 		Travel:       time.Duration(a.TravelMS) * time.Millisecond,
 		Limits:       limitsOf(n, a.Limits),
-		Barred:       n.known(a.Barred),
-		Leaving:      n.known(a.Leaving),
+		Barred:       n.lookUpKnown(a.Barred),
+		Leaving:      n.lookUpKnown(a.Leaving),
 	}
 	for i, hash := range a.Marks {
 		out.Marks = append(out.Marks, uint64(hash))
 		out.MarkTokens = append(out.MarkTokens, a.MarkTokens<<min(i, maxDoublings))
 	}
-	return out, known && found
+	return out, avoidKnown && keptKnown
 }
 
-// maxDoublings keeps a mark's length within an int.
+// maxDoublings keeps the length of a marked prefix from overflowing an int.
 const maxDoublings = 16
 
 // FromDecision converts a decision to its message.
@@ -265,7 +266,7 @@
 	}
 }
 
-// Decision converts the message back.
+// Decision converts the message back; the owner is this box. The result is always true.
 func (r *Refuse) Decision(_ *Names, o Owner) (schedule.Decision, bool) {
 	return schedule.Refuse{
 		Ask:        schedule.Ask{ID: r.ID(o)},
@@ -274,7 +275,8 @@
 	}, true
 }
 
-// Decision converts the message back.
+// Decision converts the message back; the owner is this box. It reports false if the engine
+// is not in this box's table.
 func (s *Slot) Decision(n *Names, o Owner) (schedule.Decision, bool) {
 	decode, known := n.Name(s.Decode)
 	return schedule.Slot{
@@ -286,18 +288,18 @@
 	}, known
 }
 
-// Decision converts the message back.
+// Decision converts the message back; the owner is this box. The result is always true.
 func (q *Queued) Decision(_ *Names, o Owner) (schedule.Decision, bool) {
 	return schedule.Queued{Ask: schedule.Ask{ID: q.ID(o)}}, true
 }
 
-// GroupOf is the group that a decision is about.
+// GroupOf returns the group that the decision is about.
 func (r *Refuse) GroupOf() Ref { return r.Group }
 
-// GroupOf is the group that a decision is about.
+// GroupOf returns the group that the decision is about.
 func (s *Slot) GroupOf() Ref { return s.Group }
 
-// GroupOf is the group that a decision is about.
+// GroupOf returns the group that the decision is about.
 func (q *Queued) GroupOf() Ref { return q.Group }
 
 // Decided is a message that carries a decision.
@@ -323,9 +325,9 @@
 	}
 }
 
-// Report converts the message back; the owner is who sent it.
+// Report converts the message back; the owner is the sender.
 func (d *Done) Report(n *Names, o Owner) schedule.Report {
-	// A failed engine that is not known here cannot be ejected here.
+	// An engine that is not in this box's table can't be ejected here, so its name is dropped.
 	failed, _ := n.Name(d.Failed)
 	return schedule.Report{
 		ID:        d.ID(o),
@@ -352,19 +354,21 @@
 	}
 }
 
-// Adopted converts the message back; the owner is who sent it.
+// Adopted converts the message back; the owner is the sender. It reports false if the ask or
+// one of the engines names something that is not in this box's table.
 func (a *Adopt) Adopted(n *Names, o Owner) (schedule.Adopted, bool) {
-	ask, known := a.Ask.Ask(n, o)
-	prefill, found := n.Name(a.Prefill)
-	decode, there := n.Name(a.Decode)
+	ask, askKnown := a.Ask.Ask(n, o)
+	prefill, prefillKnown := n.Name(a.Prefill)
+	decode, decodeKnown := n.Name(a.Decode)
 	return schedule.Adopted{
 		Ask:       ask,
 		Plan:      lifecycle.Plan{Mode: lifecycle.Mode(a.Mode), Prefill: prefill, Decode: decode},
 		Prefilled: a.Prefilled,
-	}, known && found && there
+	}, askKnown && prefillKnown && decodeKnown
 }
 
-// FromCheck converts a question about attempts to its message.
+// FromCheck returns the message that asks about attempts of a group; engine is empty if no
+// memory is held for them.
 func FromCheck(group, engine string, ids []lifecycle.AttemptID) *Check {
 	c := &Check{Group: RefOf(group), Engine: RefOf(engine)}
 	for _, id := range ids {
@@ -373,7 +377,7 @@
 	return c
 }
 
-// Attempts converts the message's ids back; the owner is this box.
+// Attempts returns the ids of the attempts in the message; the owner is this box.
 func (c *Check) Attempts(o Owner) []lifecycle.AttemptID {
 	out := make([]lifecycle.AttemptID, 0, len(c.IDs))
 	for _, id := range c.IDs {
--- a/protocol/boxwire/kinds.go
+++ b/protocol/boxwire/kinds.go
@@ -3,7 +3,7 @@
 
 package boxwire
 
-// Kinds is the number of kinds, with 0, which stands for none.
+// Kinds is the number of kinds, counting 0, which means none.
 const Kinds = int(kindEnd)
 
 var kindNames = [Kinds]string{
@@ -40,7 +40,7 @@
 	KindLimits: "limits",
 }
 
-// String names the kind for logs and metrics.
+// String returns the name of the kind for logs and metrics.
 func (k Kind) String() string {
 	if int(k) >= Kinds || kindNames[k] == "" {
 		return "unknown"
--- a/protocol/boxwire/loose.go
+++ b/protocol/boxwire/lenient.go
@@ -11,13 +11,13 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// decodeLoose reads a value whose structs have their fields by position. Fields beyond those
-// of this build are passed over, and those that the sender does not have stay empty: a build
-// with one field more or less is read, which the library refuses. Structs by name are the
-// library's own.
-func decodeLoose(d *msgpack.Decoder, v reflect.Value) error {
+// decodeLenient decodes a value whose structs are encoded as arrays of fields by position. It
+// skips fields beyond those of this build and leaves those that the sender lacks empty, so that
+// builds with more or fewer fields can be read; the library refuses an array of another length.
+// Structs that are encoded as maps by field name are left to the library.
+func decodeLenient(d *msgpack.Decoder, v reflect.Value) error {
 	switch {
-	case v.Kind() == reflect.Struct && !decodesItself(v.Type()):
+	case v.Kind() == reflect.Struct && !hasCustomDecoding(v.Type()):
 		return decodeStruct(d, v)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
 		return decodeSlice(d, v)
@@ -26,8 +26,8 @@
 	}
 }
 
-// decodesItself says whether a type has a form of its own on the wire.
-func decodesItself(t reflect.Type) bool {
+// hasCustomDecoding reports whether a type implements its own decoding.
+func hasCustomDecoding(t reflect.Type) bool {
 	return reflect.PointerTo(t).Implements(reflect.TypeFor[msgpack.CustomDecoder]()) ||
 		reflect.PointerTo(t).Implements(reflect.TypeFor[msgpack.Unmarshaler]())
 }
@@ -49,7 +49,7 @@
 		if i >= len(fields) {
 			err = d.Skip()
 		} else {
-			err = decodeLoose(d, v.FieldByIndex(fields[i]))
+			err = decodeLenient(d, v.FieldByIndex(fields[i]))
 		}
 		if err != nil {
 			return err
@@ -62,31 +62,33 @@
 	return msgpcode.IsFixedArray(code) || code == msgpcode.Array16 || code == msgpcode.Array32
 }
 
-// firstItems is for how many items of a list room is made before they have come.
-const firstItems = 64
+// initialCapacity bounds how many items of a list are allocated before they have been read.
+const initialCapacity = 64
 
-// decodeSlice reads a list of structs. Room is made as they come.
+// decodeSlice decodes a list of structs and grows the slice as items are read.
 func decodeSlice(d *msgpack.Decoder, v reflect.Value) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil || n < 0 {
 		return err
 	}
-	v.Set(reflect.MakeSlice(v.Type(), 0, min(n, firstItems)))
+	v.Set(reflect.MakeSlice(v.Type(), 0, min(n, initialCapacity)))
 	for i := range n {
 		v.Grow(1)
 		v.SetLen(i + 1)
-		if err := decodeLoose(d, v.Index(i)); err != nil {
+		if err := decodeLenient(d, v.Index(i)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// positions are the fields of each struct type in the order that the library writes them in.
-var positions sync.Map
+// fieldIndexes caches the result of fieldsOf by struct type.
+var fieldIndexes sync.Map
 
+// fieldsOf returns the indexes of the encoded fields of a struct type, in the order in which the
+// library writes them.
 func fieldsOf(t reflect.Type) [][]int {
-	if known, ok := positions.Load(t); ok {
+	if known, ok := fieldIndexes.Load(t); ok {
 		return known.([][]int)
 	}
 	var out [][]int
@@ -94,7 +96,7 @@
 		f := t.Field(i)
 		switch {
 		case f.Anonymous:
-			// Those of an embedded struct stand in its place.
+			// The library writes the fields of an embedded struct in its place.
 			for _, inner := range fieldsOf(f.Type) {
 				out = append(out, append([]int{i}, inner...))
 			}
@@ -102,6 +104,6 @@
 			out = append(out, []int{i})
 		}
 	}
-	positions.Store(t, out)
+	fieldIndexes.Store(t, out)
 	return out
 }
--- a/protocol/boxwire/limit.go
+++ b/protocol/boxwire/limit.go
@@ -10,31 +10,32 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// Limit is what is known of the limit that an engine names.
+// Limit is what the sender knows of the request rate that an engine accepts.
 type Limit struct {
 	Engine Ref
-	// Named says that it names one, of so many requests a second.
+	// Named reports whether the engine states a limit. PerSecond is in requests a second.
 	Named     bool
 	PerSecond float64
-	// AgeMS is how long ago it said so.
+	// AgeMS is how long ago the engine stated this.
 	AgeMS int64
 }
 
-// Limits tells the home of a group what its sender knows of limits.
+// Limits informs the home of a group of the limits that the sender knows.
 type Limits struct {
 	Group  Ref
 	Limits []Limit
 }
 
-// Kind is KindLimits.
+// Kind returns KindLimits.
 func (*Limits) Kind() Kind { return KindLimits }
 
-// FromLimits converts limits of a group's engines to their message.
+// FromLimits converts the limits of a group's engines to their message.
 func FromLimits(group string, limits []schedule.EngineLimit) *Limits {
 	return &Limits{Group: RefOf(group), Limits: fromLimits(limits)}
 }
 
-// Of converts the message back.
+// Of converts the message back. It leaves out engines that are not in this box's table, and
+// invalid limits.
 func (l *Limits) Of(n *Names) []schedule.EngineLimit { return limitsOf(n, l.Limits) }
 
 func fromLimits(limits []schedule.EngineLimit) []Limit {
@@ -47,20 +48,20 @@
 	return out
 }
 
-// limitsOf converts limits back. Those of engines that are not known here, and those that
-// are none, are left out.
+// limitsOf converts limits back. It leaves out those of engines that are not in this box's
+// table, and those whose rate is invalid, even if Named is false.
 func limitsOf(n *Names, limits []Limit) []schedule.EngineLimit {
 	var out []schedule.EngineLimit
 	for _, l := range limits {
 		engine, known := n.Name(l.Engine)
-		of := pace.LimitOf(l.PerSecond)
-		if !known || engine == "" || !of.Named {
+		limit := pace.LimitOf(l.PerSecond)
+		if !known || engine == "" || !limit.Named {
 			continue
 		}
 		if !l.Named {
-			of = pace.Limit{}
+			limit = pace.Limit{}
 		}
-		out = append(out, schedule.EngineLimit{Engine: engine, Limit: of, Age: time.Duration(max(l.AgeMS, 0)) * time.Millisecond})
+		out = append(out, schedule.EngineLimit{Engine: engine, Limit: limit, Age: time.Duration(max(l.AgeMS, 0)) * time.Millisecond})
 	}
 	return out
 }
--- a/protocol/boxwire/names.go
+++ b/protocol/boxwire/names.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ref stands for a name of the table on the wire; 0 is no name.
+// Ref is the hash of a name of the table, as sent on the wire; 0 means no name.
 type Ref uint32
 
-// RefOf is the hash of a name.
+// RefOf returns the ref of a name; that of the empty name is 0.
 func RefOf(name string) Ref {
 	if name == "" {
 		return 0
@@ -20,14 +20,14 @@
 	return Ref(xxhash.Sum64String(name))
 }
 
-// Names finds the names that refs stand for: those of one table, and those of
-// endpoints that came since. It is safe for use by several goroutines.
+// Names resolves refs to names: those of one table, and those of endpoints that were
+// added since. It is safe for concurrent use.
 type Names struct {
 	mutex sync.RWMutex
 	byRef map[Ref]string
 }
 
-// NewNames gathers names: those of groups, endpoints and accounts.
+// NewNames returns Names with lists of names, of groups, endpoints and accounts.
 func NewNames(lists ...[]string) *Names {
 	n := &Names{byRef: make(map[Ref]string)}
 	for _, list := range lists {
@@ -36,7 +36,7 @@
 	return n
 }
 
-// Add takes in more names.
+// Add adds more names.
 func (n *Names) Add(names ...string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -45,15 +45,15 @@
 	}
 }
 
-// Len is the number of names.
+// Len returns the number of names.
 func (n *Names) Len() int {
 	n.mutex.RLock()
 	defer n.mutex.RUnlock()
 	return len(n.byRef)
 }
 
-// Name is the name that a ref stands for. One that this box's table does not
-// have is not known; its sender's table is newer or older.
+// Name returns the name of a ref; that of ref 0 is empty. It reports false for a ref
+// that this box's table does not have, because the sender's table is newer or older.
 func (n *Names) Name(r Ref) (string, bool) {
 	if r == 0 {
 		return "", true
@@ -64,8 +64,8 @@
 	return name, ok
 }
 
-// names looks several refs up and reports whether all were found.
-func (n *Names) names(refs []Ref) ([]string, bool) {
+// lookUpAll resolves refs and reports whether all of them are known.
+func (n *Names) lookUpAll(refs []Ref) ([]string, bool) {
 	if len(refs) == 0 {
 		return nil, true
 	}
@@ -80,8 +80,8 @@
 	return out, true
 }
 
-// known looks several refs up and leaves out those that are not found.
-func (n *Names) known(refs []Ref) []string {
+// lookUpKnown resolves refs and leaves out those that are not known.
+func (n *Names) lookUpKnown(refs []Ref) []string {
 	var out []string
 	for _, r := range refs {
 		if name, ok := n.Name(r); ok {
--- a/protocol/boxwire/pack.go
+++ b/protocol/boxwire/pack.go
@@ -15,18 +15,18 @@
 	"runridge.example/runridge/state/member"
 )
 
-// packers are compressors that are used again: one takes 0.6 MB.
-var packers = sync.Pool{New: func() any {
-	// The level is one that there is.
+// compressors are reused, because each takes 0.6 MB.
+var compressors = sync.Pool{New: func() any {
+	// The error can only be about the level, which is valid.
 	w, _ := flate.NewWriter(io.Discard, flate.BestSpeed)
 	return w
 }}
 
-// pack compresses a value, its fields by position.
-func pack(v any) ([]byte, error) {
+// compress encodes a value with its fields by position and compresses it.
+func compress(v any) ([]byte, error) {
 	var out bytes.Buffer
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	w := compressors.Get().(*flate.Writer)
+	defer compressors.Put(w)
 	w.Reset(&out)
 	encoder := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(encoder)
@@ -40,8 +40,9 @@
 	return out.Bytes(), err
 }
 
-// unpack reads what was packed, of at most so many bytes.
-func unpack(data []byte, limit int64, into any) error {
+// decompress decodes what compress returned. It returns ErrFrame for invalid data and for more
+// than limit bytes after decompression.
+func decompress(data []byte, limit int64, into any) error {
 	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), limit+1))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrFrame, err)
@@ -55,16 +56,16 @@
 	return nil
 }
 
-// leastPackedBoxes is from how many boxes on those of a membership message are compressed:
-// what probes carry is less, and a box that starts is told all.
-const leastPackedBoxes = 32
+// minCompressedBoxes is the lowest number of boxes in a membership message that are
+// compressed. Probes carry fewer; a box that starts receives all.
+const minCompressedBoxes = 32
 
-// Pack compresses the message's updates if there are many.
+// Pack returns the message with its updates compressed if there are many.
 func (m *Member) Pack() (*Member, error) {
-	if len(m.Message.Updates) < leastPackedBoxes {
+	if len(m.Message.Updates) < minCompressedBoxes {
 		return m, nil
 	}
-	data, err := pack(boxList{Boxes: m.Message.Updates})
+	data, err := compress(boxList{Boxes: m.Message.Updates})
 	if err != nil {
 		return nil, fmt.Errorf("encode boxes: %w", err)
 	}
@@ -73,13 +74,13 @@
 	return &out, nil
 }
 
-// Open gives the membership message with its updates.
+// Open returns the membership message with its updates, decompressed if they are in Packed.
 func (m *Member) Open() (member.Message, error) {
 	if len(m.Packed) == 0 {
 		return m.Message, nil
 	}
 	var list boxList
-	if err := unpack(m.Packed, maxSmall, &list); err != nil {
+	if err := decompress(m.Packed, maxSmallFrame, &list); err != nil {
 		return m.Message, fmt.Errorf("boxes: %w", err)
 	}
 	out := m.Message
@@ -87,11 +88,11 @@
 	return out, nil
 }
 
-// boxList is what is compressed.
+// boxList is the compressed part of a membership message.
 type boxList struct{ Boxes []member.Box }
 
-// unpacked is the message for builds that know no packed updates.
-func (m *Member) unpacked() (Message, error) {
+// uncompressed returns the message for builds that do not know compressed updates.
+func (m *Member) uncompressed() (Message, error) {
 	out := *m
 	var err error
 	out.Message, err = m.Open()
--- a/protocol/boxwire/poison.go
+++ b/protocol/boxwire/poison.go
@@ -9,22 +9,24 @@
 	"runridge.example/runridge/state/poison"
 )
 
-// Suspects are requests that endpoints ended in the middle of. They hold neither a body
-// nor a key: a request stands in them as a digest.
+// Suspects carries requests during which endpoints ended. It holds neither bodies nor keys of
+// the requests, only their digests.
 type Suspects struct {
 	Origin   string
 	Suspects []Suspect
 }
 
-// Suspect is one of them. AgeMS is how long before the message it was last seen: boxes
-// compare no clocks.
+// Suspect is one suspected request. AgeMS is how long before the message the request was last
+// seen; times are sent as ages because boxes do not compare their clocks.
 type Suspect struct {
 	Fingerprint []byte
 	Ends        []End
 	AgeMS       int64
 }
 
-// End is the end of one start of an endpoint under a request, so long before the message.
+// End is the end of one incarnation of an endpoint that was running the request, AgeMS before
+// the message. RanMS is how long after it was sent to the endpoint the request broke off.
+// Cleared reports whether the request has been answered elsewhere since.
 type End struct {
 	Endpoint uint64
 	AgeMS    int64
@@ -32,13 +34,13 @@
 	Cleared  bool
 }
 
-// SuspectsPull asks for all that a box knows of them.
+// SuspectsPull asks for all suspected requests that the receiver knows.
 type SuspectsPull struct{}
 
-// Kind is the message's kind.
+// Kind returns KindSuspects.
 func (*Suspects) Kind() Kind { return KindSuspects }
 
-// Kind is the message's kind.
+// Kind returns KindSuspectsPull.
 func (*SuspectsPull) Kind() Kind { return KindSuspectsPull }
 
 // FromSuspects converts an update to its message.
@@ -56,7 +58,7 @@
 	return m
 }
 
-// Update gives the update that the message tells. What no box can have sent is left out.
+// Update converts the message back to an update and leaves out invalid suspects.
 func (m *Suspects) Update(now time.Time) poison.Update {
 	u := poison.Update{Origin: m.Origin}
 	for _, s := range m.Suspects {
--- a/protocol/boxwire/poison_test.go
+++ b/protocol/boxwire/poison_test.go
@@ -11,8 +11,9 @@
 	"runridge.example/runridge/state/poison"
 )
 
-// someSuspect is a suspect with all that it may have, at a whole millisecond.
-func someSuspect(seen time.Time) poison.Suspect {
+// fullSuspect returns a suspect with as many ends as allowed. Its times are whole milliseconds
+// apart, as on the wire.
+func fullSuspect(seen time.Time) poison.Suspect {
 	s := poison.Suspect{Fingerprint: poison.FingerprintOf(poison.Request{Target: "/a"}), Seen: seen}
 	for i := range poison.MaxEnds {
 		s.Ends = append(s.Ends, poison.End{Endpoint: ^uint64(0) - uint64(i), At: seen.Add(-time.Minute), Ran: time.Duration(i) * time.Second, Cleared: i%2 == 0})
@@ -22,7 +23,7 @@
 
 func TestSuspectsComeBack(t *testing.T) {
 	sent := time.Date(2026, 3, 12, 3, 0, 0, 0, time.UTC)
-	want := poison.Update{Origin: "box-1", Suspects: []poison.Suspect{someSuspect(sent.Add(-4 * time.Second))}}
+	want := poison.Update{Origin: "box-1", Suspects: []poison.Suspect{fullSuspect(sent.Add(-4 * time.Second))}}
 	received := sent.Add(time.Hour)
 	got := FromSuspects(sent, want).Update(received)
 	want.Suspects[0].Seen = received.Add(-4 * time.Second)
@@ -34,12 +35,12 @@
 	}
 }
 
-// TestSuspectsFit holds that as many suspects as a message may have fit into a frame.
+// TestSuspectsFit checks that the highest number of suspects in a message fits into a frame.
 func TestSuspectsFit(t *testing.T) {
 	now := time.Date(2026, 3, 12, 3, 0, 0, 0, time.UTC)
 	u := poison.Update{Origin: "a box with a long name"}
 	for range poison.MaxSent {
-		u.Suspects = append(u.Suspects, someSuspect(now.Add(-poison.Keep/2)))
+		u.Suspects = append(u.Suspects, fullSuspect(now.Add(-poison.Keep/2)))
 	}
 	frame, err := Append(nil, FromSuspects(now, u), VersionNow)
 	if err != nil {
@@ -50,8 +51,8 @@
 
 func TestSuspectsThatNoBoxSends(t *testing.T) {
 	now := time.Date(2026, 3, 12, 3, 0, 0, 0, time.UTC)
-	sound := func() Suspect {
-		return FromSuspects(now, poison.Update{Suspects: []poison.Suspect{someSuspect(now)}}).Suspects[0]
+	valid := func() Suspect {
+		return FromSuspects(now, poison.Update{Suspects: []poison.Suspect{fullSuspect(now)}}).Suspects[0]
 	}
 	cases := map[string]func(s *Suspect){
 		"a short fingerprint": func(s *Suspect) { s.Fingerprint = s.Fingerprint[1:] },
@@ -62,11 +63,11 @@
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
-			bad := sound()
+			bad := valid()
 			change(&bad)
-			m := Suspects{Suspects: []Suspect{bad, sound()}}
+			m := Suspects{Suspects: []Suspect{bad, valid()}}
 			if got := m.Update(now); len(got.Suspects) != 1 {
-				t.Errorf("%d suspects are taken, want the sound one", len(got.Suspects))
+				t.Errorf("%d suspects are accepted, want only the valid one", len(got.Suspects))
 			}
 		})
 	}
--- a/protocol/boxwire/quota.go
+++ b/protocol/boxwire/quota.go
@@ -11,16 +11,16 @@
 	limits "runridge.example/runridge/state/quota"
 )
 
-// QuotaAsk asks an account's home for part of its quota: some 20 bytes.
+// QuotaAsk asks the home of an account for part of its quota. It takes some 20 bytes.
 type QuotaAsk struct {
 	Attempt
 	Account string
-	// Cost and More are whole units.
+	// Cost is what the request needs and More what is asked for ahead of need, in whole units.
 	Cost, More         int64
 	WaitMS, PatienceMS int64
 }
 
-// QuotaAnswer is the home's word: some 12 bytes.
+// QuotaAnswer is the home's answer to a QuotaAsk. It takes some 12 bytes.
 type QuotaAnswer struct {
 	Attempt
 	Outcome uint8
@@ -29,14 +29,14 @@
 	RetryMS int64
 }
 
-// Kind is KindQuotaAsk.
+// Kind returns KindQuotaAsk.
 func (*QuotaAsk) Kind() Kind { return KindQuotaAsk }
 
-// Kind is KindQuotaAnswer.
+// Kind returns KindQuotaAnswer.
 func (*QuotaAnswer) Kind() Kind { return KindQuotaAnswer }
 
-// FromQuotaAsk converts an ask. Its cost is rounded up, what is asked for ahead
-// of need down.
+// FromQuotaAsk converts an ask to its message. The cost is rounded up, what is asked
+// for ahead of need is rounded down.
 func FromQuotaAsk(a quota.Ask) *QuotaAsk {
 	return &QuotaAsk{
 		Attempt:    FromAttempt(a.ID),
@@ -48,7 +48,7 @@
 	}
 }
 
-// Ask converts it back; the attempt is the sender's.
+// Ask converts the message back; the attempt belongs to the sender.
 func (m *QuotaAsk) Ask(sender Owner) quota.Ask {
 	return quota.Ask{
 		ID:      m.ID(sender),
@@ -62,23 +62,23 @@
 	}
 }
 
-// FromQuotaAnswer converts an answer. Waits are rounded up.
+// FromQuotaAnswer converts an answer to its message. Waits are rounded up.
 func FromQuotaAnswer(a quota.Answer) *QuotaAnswer {
 	return &QuotaAnswer{
 		Attempt: FromAttempt(a.ID),
 		Outcome: uint8(a.Outcome),
 		More:    int64(a.More),
-		WaitMS:  upMS(a.Wait),
-		RetryMS: upMS(a.RetryAfter),
+		WaitMS:  ceilMS(a.Wait),
+		RetryMS: ceilMS(a.RetryAfter),
 	}
 }
 
-// upMS is a time in whole milliseconds, rounded up.
-func upMS(d time.Duration) int64 {
+// ceilMS returns a duration in whole milliseconds, rounded up.
+func ceilMS(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// Answer converts it back; the attempt is this box's.
+// Answer converts the message back; the attempt belongs to this box.
 func (m *QuotaAnswer) Answer(self Owner) quota.Answer {
 	return quota.Answer{
 		ID:      m.ID(self),
--- a/protocol/boxwire/repeat.go
+++ b/protocol/boxwire/repeat.go
@@ -5,37 +5,37 @@
 
 import "runridge.example/runridge/coordination/dedup"
 
-// The messages about requests that come again are the coordination layer's
-// own types, carried as they are.
+// The messages about repeated requests carry the types of the coordination layer
+// unchanged.
 type (
-	// Claim asks a key's first box whether a request may run.
+	// Claim asks the first-ranked box of a key whether a request may run.
 	Claim struct{ Body dedup.Claim }
 	// Reply answers a claim.
 	Reply struct{ Body dedup.Reply }
-	// Copy takes a record to the key's second box.
+	// Copy sends a record to the second-ranked box of its key.
 	Copy struct{ Body dedup.Copy }
-	// Copied says what the second box had.
+	// Copied answers a copy with what the second-ranked box had.
 	Copied struct{ Body dedup.Copied }
 	// Join asks the owner of a request for its answer.
 	Join struct{ Body dedup.Join }
-	// Piece is a part of an answer.
+	// Piece carries a part of an answer to a box that joined its request.
 	Piece struct{ Body dedup.Piece }
 )
 
-// Kind is KindClaim.
+// Kind returns KindClaim.
 func (*Claim) Kind() Kind { return KindClaim }
 
-// Kind is KindReply.
+// Kind returns KindReply.
 func (*Reply) Kind() Kind { return KindReply }
 
-// Kind is KindCopy.
+// Kind returns KindCopy.
 func (*Copy) Kind() Kind { return KindCopy }
 
-// Kind is KindCopied.
+// Kind returns KindCopied.
 func (*Copied) Kind() Kind { return KindCopied }
 
-// Kind is KindJoin.
+// Kind returns KindJoin.
 func (*Join) Kind() Kind { return KindJoin }
 
-// Kind is KindPiece.
+// Kind returns KindPiece.
 func (*Piece) Kind() Kind { return KindPiece }
--- a/protocol/boxwire/update.go
+++ b/protocol/boxwire/update.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	// leastPacked is from how many changes on an update is compressed: fewer gain
-	// less than the compressed form's own bytes.
-	leastPacked = 4
-	// maxUnpacked bounds the changes of an update once they are unpacked, in bytes.
-	maxUnpacked = MaxFrame
+	// minCompressedChanges is the lowest number of changes in an update that are compressed.
+	// With fewer, compression saves less than its own overhead.
+	minCompressedChanges = 4
+	// maxDecompressed bounds the changes of an update after decompression, in bytes.
+	maxDecompressed = MaxFrame
 )
 
-// FromUpdate converts an update, of a box with its own table, to its message: packed where there are many changes, which
-// takes a fifth of the bytes.
+// FromUpdate converts an update to its message; own is the stamp of the sender's table. If there
+// are many changes, they are compressed to a fifth of the bytes.
 func FromUpdate(n directory.Update, own table.Stamp) (*Update, error) {
 	era := EraOf(n.At)
 	n.After, n.At = position.Revision(n.After), position.Revision(n.At)
-	if len(n.Changes) < leastPacked {
+	if len(n.Changes) < minCompressedChanges {
 		return &Update{Update: n, Generation: own.Generation, Era: era, Version: own.Version}, nil
 	}
-	data, err := pack(n)
+	data, err := compress(n)
 	if err != nil {
 		return nil, fmt.Errorf("encode changes of endpoints: %w", err)
 	}
 	return &Update{Generation: own.Generation, Packed: data, Era: era, Version: own.Version}, nil
 }
 
-// Open gives the update that the message tells to a box that stands at a position.
-func (m *Update) Open(as uint64) (directory.Update, error) {
-	n, err := m.plain()
-	n.After, n.At = m.Era.position(n.After, as), m.Era.position(n.At, as)
+// Open converts the message back to an update; receiverAt is the receiver's own position.
+func (m *Update) Open(receiverAt uint64) (directory.Update, error) {
+	n, err := m.decompressed()
+	n.After, n.At = m.Era.position(n.After, receiverAt), m.Era.position(n.At, receiverAt)
 	return n, err
 }
 
-// plain gives the update as it was sent, with the store's own revisions.
-func (m *Update) plain() (directory.Update, error) {
+// decompressed returns the update as it was sent, with the store's own revisions.
+func (m *Update) decompressed() (directory.Update, error) {
 	var n directory.Update
 	if len(m.Packed) == 0 {
 		return m.Update, nil
 	}
-	if err := unpack(m.Packed, maxUnpacked, &n); err != nil {
+	if err := decompress(m.Packed, maxDecompressed, &n); err != nil {
 		return n, fmt.Errorf("changes of endpoints: %w", err)
 	}
 	return n, nil
 }
 
-// unpacked is the message for builds that read packed changes only if theirs have as many
-// fields.
-func (m *Update) unpacked() (Message, error) {
-	n, err := m.plain()
+// uncompressed returns the message for builds that can read compressed changes only if their
+// structs have the same number of fields.
+func (m *Update) uncompressed() (Message, error) {
+	n, err := m.decompressed()
 	return &Update{Update: n, Generation: m.Generation, Era: m.Era, Version: m.Version}, err
 }
--- a/protocol/boxwire/update_test.go
+++ b/protocol/boxwire/update_test.go
@@ -18,8 +18,8 @@
 	"runridge.example/runridge/state/table"
 )
 
-// changesOf makes changes such as a fleet has them.
-func changesOf(count int) []directory.Change {
+// sampleChanges returns changes with ids, addresses and zones like those of a real fleet.
+func sampleChanges(count int) []directory.Change {
 	random := rand.New(rand.NewPCG(1, 2))
 	var out []directory.Change
 	for i := range count {
@@ -37,10 +37,10 @@
 }
 
 func TestUpdateRoundTrip(t *testing.T) {
-	cases := map[string]int{"no change": 0, "one": 1, "the most that is not packed": leastPacked - 1, "the least that is": leastPacked, "many": 500}
+	cases := map[string]int{"no change": 0, "one": 1, "the most that is not compressed": minCompressedChanges - 1, "the least that is compressed": minCompressedChanges, "many": 500}
 	for name, count := range cases {
 		t.Run(name, func(t *testing.T) {
-			want := directory.Update{Origin: "a", Sequence: 3, After: 5, At: 9, Changes: changesOf(count)}
+			want := directory.Update{Origin: "a", Sequence: 3, After: 5, At: 9, Changes: sampleChanges(count)}
 			m, err := FromUpdate(want, table.Stamp{Generation: 7})
 			if err != nil {
 				t.Fatal(err)
@@ -62,7 +62,7 @@
 }
 
 func TestUpdatePacked(t *testing.T) {
-	n := directory.Update{Whole: true, At: 9, Changes: changesOf(3000)}
+	n := directory.Update{Whole: true, At: 9, Changes: sampleChanges(3000)}
 	plain, err := Append(nil, &Update{Update: n}, VersionNow)
 	if err != nil {
 		t.Fatal(err)
@@ -71,17 +71,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d bytes as they stand, %d packed", len(plain), len(m.Packed))
+	t.Logf("%d bytes uncompressed, %d compressed", len(plain), len(m.Packed))
 	if len(m.Packed)*3 > len(plain) {
-		t.Errorf("packed to %d bytes of %d, want a third at most", len(m.Packed), len(plain))
+		t.Errorf("compressed to %d bytes of %d, want a third at most", len(m.Packed), len(plain))
 	}
 }
 
 func TestUpdateThatUnpacksWrongly(t *testing.T) {
 	cases := map[string][]byte{
-		"no compressed form":              []byte("changes"),
-		"a list that says too much":       packed(t, []byte{0xdd, 0xff, 0xff, 0xff, 0xff, 0x90}),
-		"more bytes than an update takes": packed(t, make([]byte, maxUnpacked+1)),
+		"not compressed":                     []byte("changes"),
+		"a list that claims too many items":  deflated(t, []byte{0xdd, 0xff, 0xff, 0xff, 0xff, 0x90}),
+		"more bytes than an update may have": deflated(t, make([]byte, maxDecompressed+1)),
 	}
 	for name, data := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -92,8 +92,8 @@
 	}
 }
 
-// packed compresses bytes as an update's changes are.
-func packed(t *testing.T, data []byte) []byte {
+// deflated compresses bytes as the changes of an update are compressed.
+func deflated(t *testing.T, data []byte) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
--- a/protocol/boxwire/version_test.go
+++ b/protocol/boxwire/version_test.go
@@ -28,17 +28,17 @@
 	"runridge.example/runridge/state/table"
 )
 
-// unversioned has the frames that this build writes to builds whose greetings tell no version,
-// and furtherFields those of messages with fields that some of these builds don't have.
+// unversionedFile has the frames that this build writes for builds whose greetings state no
+// version, and newerFieldsFile those of messages with fields that some of these builds lack.
 const (
-	unversioned   = "testdata/frames/unversioned.txt"
-	furtherFields = "testdata/frames/further-fields.txt"
+	unversionedFile = "testdata/frames/unversioned.txt"
+	newerFieldsFile = "testdata/frames/further-fields.txt"
 )
 
-var writeFrames = flag.Bool("write-frames", false, "write the frames to builds without a version anew; testdata/record.sh has the builds read them")
+var writeFrames = flag.Bool("write-frames", false, "rewrite the files with the frames for builds without a version; testdata/record.sh makes those builds read them")
 
-// further are messages with the fields that golden leaves out.
-func further() map[string]Message {
+// messagesWithNewerFields returns messages with the fields that golden leaves out.
+func messagesWithNewerFields() map[string]Message {
 	all := golden()
 	hello := *all["hello"].(*Hello)
 	hello.Version = VersionNow
@@ -54,8 +54,8 @@
 	return map[string]Message{"hello": &hello, "member": &m, "update": update, "ask": &ask, "grant": &grant, "slot": &slot}
 }
 
-// framesIn reads a file of frames by name.
-func framesIn(t *testing.T, path string) map[string][]byte {
+// readFrameFile reads a file of frames by message name.
+func readFrameFile(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -82,18 +82,18 @@
 	return m
 }
 
-// TestFramesOfEarlierBuilds reads what the builds recorded have written.
+// TestFramesOfEarlierBuilds checks that frames recorded from earlier builds are still read.
 func TestFramesOfEarlierBuilds(t *testing.T) {
 	files, err := filepath.Glob("testdata/frames/*.txt")
 	if err != nil || len(files) < 4 {
 		t.Fatalf("%d files of frames (%v)", len(files), err)
 	}
 	for _, path := range files {
-		if path == furtherFields {
+		if path == newerFieldsFile {
 			continue
 		}
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			frames := framesIn(t, path)
+			frames := readFrameFile(t, path)
 			for name, want := range golden() {
 				if got := readFrame(t, frames[name]); !reflect.DeepEqual(got, want) {
 					t.Errorf("%s: got %+v, want %+v", name, got, want)
@@ -103,10 +103,10 @@
 	}
 }
 
-// TestFramesToEarlierBuilds holds that builds without a version are sent the frames that they
-// were seen to read.
+// TestFramesToEarlierBuilds checks that the frames for builds without a version are byte for
+// byte those that these builds were seen to read.
 func TestFramesToEarlierBuilds(t *testing.T) {
-	for path, all := range map[string]map[string]Message{unversioned: golden(), furtherFields: further()} {
+	for path, all := range map[string]map[string]Message{unversionedFile: golden(), newerFieldsFile: messagesWithNewerFields()} {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			var out strings.Builder
 			for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -127,20 +127,20 @@
 				t.Fatal(err)
 			}
 			if out.String() != string(want) {
-				t.Errorf("the frames are others than those of %s", path)
+				t.Errorf("the frames differ from those of %s", path)
 			}
 		})
 	}
 }
 
-// TestKindsOfThisVersion holds that a kind which some build may not know says since when it is
-// read, and is not sent before.
+// TestKindsOfThisVersion checks that every kind that some recorded build does not know has a
+// first version, and is not sent to builds without a version.
 func TestKindsOfThisVersion(t *testing.T) {
 	recorded := make(map[Kind]bool)
 	for _, m := range golden() {
 		recorded[m.Kind()] = true
 	}
-	for k, blank := range blanks {
+	for k, blank := range emptyMessages {
 		if VersionNone.Reads(k) != recorded[k] {
 			t.Errorf("%s: read by builds without a version: %v, by those recorded: %v", k, VersionNone.Reads(k), recorded[k])
 		}
@@ -154,14 +154,14 @@
 	}
 }
 
-// TestPackedUpdatesToEarlierBuilds holds that changes which are packed here reach builds that
-// would refuse what is inside.
+// TestPackedUpdatesToEarlierBuilds checks that compressed changes are sent uncompressed to builds
+// that could not read the compressed form.
 func TestPackedUpdatesToEarlierBuilds(t *testing.T) {
-	want := withChanges(golden()["update"].(*Update), 2*leastPacked)
+	want := withChanges(golden()["update"].(*Update), 2*minCompressedChanges)
 	want.Era = EraOf(want.Update.At)
 	m, err := FromUpdate(want.Update, want.Table())
 	if err != nil || len(m.Packed) == 0 {
-		t.Fatalf("%d bytes packed (%v)", len(m.Packed), err)
+		t.Fatalf("%d bytes compressed (%v)", len(m.Packed), err)
 	}
 	frame, err := Append(nil, m, VersionNone)
 	if err != nil {
@@ -172,7 +172,7 @@
 	}
 }
 
-// withChanges is an update with so many changes.
+// withChanges returns a copy of an update with count changes.
 func withChanges(m *Update, count int) *Update {
 	out := *m
 	out.Update.Changes = nil
@@ -184,8 +184,9 @@
 	return &out
 }
 
-// writeLater writes a value as a build of the future does: each struct has further fields.
-func writeLater(e *msgpack.Encoder, v reflect.Value, more []any) error {
+// encodeWithExtraFields encodes a value as a future build would: each struct has the fields in
+// more after its own.
+func encodeWithExtraFields(e *msgpack.Encoder, v reflect.Value, more []any) error {
 	switch {
 	case v.Kind() == reflect.Struct:
 		fields := fieldsOf(v.Type())
@@ -193,7 +194,7 @@
 			return err
 		}
 		for _, index := range fields {
-			if err := writeLater(e, v.FieldByIndex(index), more); err != nil {
+			if err := encodeWithExtraFields(e, v.FieldByIndex(index), more); err != nil {
 				return err
 			}
 		}
@@ -208,7 +209,7 @@
 			return err
 		}
 		for i := range v.Len() {
-			if err := writeLater(e, v.Index(i), more); err != nil {
+			if err := encodeWithExtraFields(e, v.Index(i), more); err != nil {
 				return err
 			}
 		}
@@ -218,20 +219,20 @@
 	}
 }
 
-// frameLater is the frame of a message of a future build.
-func frameLater(t rapid.TB, m Message, more []any) []byte {
+// frameWithExtraFields returns the frame of a message as a future build would write it.
+func frameWithExtraFields(t rapid.TB, m Message, more []any) []byte {
 	t.Helper()
 	var body bytes.Buffer
 	e := msgpack.NewEncoder(&body)
 	e.UseCompactInts(true)
-	if err := writeLater(e, reflect.ValueOf(m).Elem(), more); err != nil {
+	if err := encodeWithExtraFields(e, reflect.ValueOf(m).Elem(), more); err != nil {
 		t.Fatal(err)
 	}
 	return append(binary.AppendUvarint([]byte{byte(m.Kind())}, uint64(body.Len())), body.Bytes()...)
 }
 
-// TestFramesOfLaterBuilds has frames with further fields everywhere, and of kinds of the
-// future, between others: what is known is read, and the rest is passed over.
+// TestFramesOfLaterBuilds checks that frames of unknown kinds and further fields in every struct
+// are skipped, and that the known fields of the next frame are still read.
 func TestFramesOfLaterBuilds(t *testing.T) {
 	fields := rapid.OneOf(
 		rapid.Just(any(nil)), rapid.Map(rapid.Int64(), func(n int64) any { return n }),
@@ -248,7 +249,7 @@
 		body := rapid.SliceOf(rapid.Byte()).Draw(r, "body")
 
 		stream := append(binary.AppendUvarint([]byte{code}, uint64(len(body))), body...)
-		stream = append(stream, frameLater(r, all[name], more)...)
+		stream = append(stream, frameWithExtraFields(r, all[name], more)...)
 		reader := bufio.NewReader(bytes.NewReader(stream))
 		first, err := Read(reader)
 		if u, ok := first.(*Unknown); err != nil || !ok || u.Code != Kind(code) {
@@ -260,7 +261,7 @@
 	})
 }
 
-// TestUnreadableBody holds that a message whose body is no such message costs no connection.
+// TestUnreadableBody checks that reading goes on after a message whose body cannot be decoded.
 func TestUnreadableBody(t *testing.T) {
 	body, err := msgpack.Marshal("no ask")
 	if err != nil {
@@ -281,8 +282,8 @@
 	}
 }
 
-// TestBytesByName holds that builds which read fields by position get the shorter frames, and
-// logs what it costs to speak to the others.
+// TestBytesByName checks that frames with fields by position are shorter than those with fields
+// by name, and logs the size of both.
 func TestBytesByName(t *testing.T) {
 	positional, byName := 0, 0
 	for name, m := range golden() {
@@ -302,8 +303,8 @@
 	}
 }
 
-// TestPartOfSyncFits holds that a part of the answer to a box that starts fits into a frame of
-// each version.
+// TestPartOfSyncFits checks that one part of the list of boxes that a starting box receives fits
+// into a frame of each version.
 func TestPartOfSyncFits(t *testing.T) {
 	m := *golden()["member"].(*Member)
 	box := m.Message.Updates[0]
@@ -319,7 +320,7 @@
 	}
 	packed, err := m.Pack()
 	if err != nil || len(packed.Packed) == 0 {
-		t.Fatalf("%d bytes packed (%v)", len(packed.Packed), err)
+		t.Fatalf("%d bytes compressed (%v)", len(packed.Packed), err)
 	}
 	for _, v := range []Version{VersionNone, VersionNow} {
 		frame, err := Append(nil, packed, v)
@@ -334,9 +335,9 @@
 	}
 }
 
-// BenchmarkReadList reads a list of 10,000 endpoints, as a box that starts does.
+// BenchmarkReadList decodes a list of 10,000 endpoints, as a starting box does.
 func BenchmarkReadList(b *testing.B) {
-	m, err := FromUpdate(directory.Update{Origin: "a", Whole: true, At: 9, Changes: changesOf(10_000)}, table.Stamp{Generation: 2})
+	m, err := FromUpdate(directory.Update{Origin: "a", Whole: true, At: 9, Changes: sampleChanges(10_000)}, table.Stamp{Generation: 2})
 	if err != nil {
 		b.Fatal(err)
 	}
