--- a/protocol/callerapi/callerapi.go
+++ b/protocol/callerapi/callerapi.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package callerapi is the shape of what callers send and get: the completions
-// API that is common for language models, and typed refusals.
+// Package callerapi defines the HTTP API for callers: the completions API that is
+// common for language models, and typed refusals.
 package callerapi
 
 import (
@@ -13,7 +13,7 @@
 	"runridge.example/runridge/modules/invalid"
 )
 
-// Paths.
+// Paths of the API and of the health checks.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -24,15 +24,16 @@
 // Request headers. All are optional.
 const (
 	HeaderAccount = "X-Runridge-Account"
-	// HeaderPriority is a whole number from -10 to 10; higher goes first.
+	// HeaderPriority is an integer from -10 to 10; higher goes first.
 	HeaderPriority = "X-Runridge-Priority"
-	// HeaderDeadline bounds the first token, in milliseconds from arrival.
+	// HeaderDeadline is the time limit for the first token, in milliseconds from the
+	// request's arrival.
 	HeaderDeadline = "X-Runridge-Deadline-Ms"
-	// HeaderIdempotencyKey makes repeats of a request one request.
+	// HeaderIdempotencyKey identifies a request, so that repeats of it run only once.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderOnce, when "true", marks a request that must not be repeated.
 	HeaderOnce = "X-Runridge-Once"
-	// HeaderRequest is the answer's request id.
+	// HeaderRequest is the request id, in answers.
 	HeaderRequest = "X-Runridge-Request"
 )
 
@@ -49,8 +50,8 @@
 	Content string `json:"content"`
 }
 
-// Body is the part of a completions request that the router reads. Fields not
-// named here are not passed on.
+// Body is the part of a completions request that the router reads. Other fields are
+// not forwarded.
 type Body struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt,omitempty"`
@@ -59,7 +60,8 @@
 	Stream    bool      `json:"stream,omitempty"`
 }
 
-// ParseBody reads a completions body. Chat says which of the two it is.
+// ParseBody parses the body of a chat completion if chat is true, otherwise that of a plain
+// completion. The error is an invalid.FieldError, whose text is sent to the caller.
 func ParseBody(data []byte, chat bool) (Body, error) {
 	var b Body
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -80,9 +82,10 @@
 	return b, nil
 }
 
-// maxSnippet bounds how much of a bad body stands in an error.
+// maxSnippet is how much of an invalid body is quoted in an error, in bytes.
 const maxSnippet = 40
 
+// snippet returns the beginning of data, for an error.
 func snippet(data []byte) string {
 	if len(data) > maxSnippet {
 		return string(data[:maxSnippet]) + "..."
@@ -90,7 +93,7 @@
 	return string(data)
 }
 
-// Text is the whole prompt as one text.
+// Text returns the whole prompt as one text, with a "role: content" line for each message.
 func (b Body) Text() string {
 	if len(b.Messages) == 0 {
 		return b.Prompt
@@ -105,7 +108,7 @@
 	return text.String()
 }
 
-// Completion is a whole answer or, in a stream, one piece of it.
+// Completion is a whole answer or, in a stream, one chunk of it.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -124,7 +127,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Usage counts tokens.
+// Usage is the number of tokens of a request and its answer.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -136,25 +139,25 @@
 	Error RefusalBody `json:"error"`
 }
 
-// Outcome says what is known about a request that was not answered.
+// Outcome is what is known about a request that was not answered successfully.
 type Outcome string
 
-// Outcomes.
+// Outcomes of requests.
 const (
-	// OutcomeNotRun: proved that nothing ran anywhere.
+	// OutcomeNotRun means that the request certainly ran nowhere.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown: it may have run.
+	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeFailed: it ran and did not end well.
+	// OutcomeFailed means that the request ran and failed.
 	OutcomeFailed Outcome = "failed"
 )
 
-// RefusalBody is the typed refusal.
+// RefusalBody says why a request was not answered successfully.
 type RefusalBody struct {
 	Outcome Outcome `json:"outcome"`
 	Reason  string  `json:"reason"`
 	Message string  `json:"message"`
-	// RetryAfterMS is when to come again; it stands with not_run only.
+	// RetryAfterMS is the delay before a retry, in milliseconds; set only with OutcomeNotRun.
 	RetryAfterMS int    `json:"retry_after_ms,omitempty"`
 	Request      string `json:"request,omitempty"`
 }
--- a/protocol/engineapi/engineapi.go
+++ b/protocol/engineapi/engineapi.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package engineapi is the shape of what runridge says to an engine over HTTP
-// and of what the engine answers: JSON bodies, and one JSON line per token.
+// Package engineapi defines the HTTP API between runridge and an engine: JSON bodies,
+// and one JSON line per token.
 package engineapi
 
-// Paths of the engine's HTTP surface.
+// Paths of the engine's HTTP API.
 const (
 	PathPrefill = "/engine/prefill"
 	PathImport  = "/engine/import"
@@ -17,55 +17,58 @@
 	PathOrder   = "/engine/order"
 )
 
-// HeaderLimit is on answers of an engine, or of a plain service, that takes only so many
-// requests a second from all boxes together.
+// HeaderLimit is on answers of an engine, or of an endpoint of a plain service, that accepts a
+// limited number of requests a second from all boxes together. Its value is that number.
 const HeaderLimit = "Runridge-Limit"
 
-// HeaderLeaving is on all answers of an engine, or of a plain service, that is about to end.
+// HeaderLeaving is on all answers of an engine, or of an endpoint of a plain service, that is
+// about to shut down.
 const HeaderLeaving = "Runridge-Leaving"
 
 // PrefillOrder asks the engine to compute a prompt's KV cache and keep it.
 type PrefillOrder struct {
 	Attempt string `json:"attempt"`
 	Prompt  string `json:"prompt"`
-	// Emitted is text that was generated already and belongs to the prompt.
+	// Emitted is text that was generated before and now belongs to the prompt.
 	Emitted string `json:"emitted,omitempty"`
-	// Marks names the prompt's prefixes in cache events; MarkBytes their lengths.
+	// Marks are the hashes that name the prompt's prefixes in cache events, and MarkBytes
+	// the lengths of these prefixes in bytes.
 	Marks     []uint64 `json:"marks,omitempty"`
 	MarkBytes []int    `json:"mark_bytes,omitempty"`
 	Priority  int      `json:"priority,omitempty"`
 }
 
-// PrefillResult says that the result is kept.
+// PrefillResult answers a PrefillOrder: the engine keeps the result.
 type PrefillResult struct {
 	Attempt string `json:"attempt"`
-	// Tokens is the prompt's length, Computed the part not found in the cache.
+	// Tokens is the length of the prompt, and Computed the part of it that was not found in
+	// the cache.
 	Tokens   int `json:"tokens"`
 	Computed int `json:"computed"`
-	// WorkedUS is the engine's time for it without waiting, in microseconds.
+	// WorkedUS is the time that the engine worked on it, without waiting, in microseconds.
 	WorkedUS int64 `json:"worked_us"`
 	// ExpiresMS is how long the result is kept, in milliseconds.
 	ExpiresMS int64 `json:"expires_ms"`
 }
 
-// ImportOrder asks a decode engine to fetch a result from a prefill engine.
+// ImportOrder asks a decode engine to fetch a prefill result from a prefill engine.
 type ImportOrder struct {
 	Attempt string `json:"attempt"`
-	// Source is the attempt that the result was computed under.
+	// Source is the attempt for which the result was computed.
 	Source string `json:"source"`
-	// From is the prefill engine's address, an IP number and port.
+	// From is the IP address and port of the prefill engine.
 	From string `json:"from"`
-	// OutputTokens is the memory to keep for the answer.
+	// OutputTokens is the memory to reserve for the answer, in tokens.
 	OutputTokens int `json:"output_tokens"`
 }
 
-// ImportResult says that the decode engine has the result.
+// ImportResult answers an ImportOrder: the decode engine has the prefill result.
 type ImportResult struct {
 	Attempt string `json:"attempt"`
 	Tokens  int    `json:"tokens"`
 }
 
-// DecodeOrder asks for tokens from index Emitted on.
+// DecodeOrder asks a decode engine for the tokens from index EmittedCount on.
 type DecodeOrder struct {
 	Attempt      string `json:"attempt"`
 	EmittedCount int    `json:"emitted_count"`
@@ -73,11 +76,11 @@
 	Emitted      string `json:"emitted,omitempty"`
 	OutputTokens int    `json:"output_tokens"`
 	Priority     int    `json:"priority,omitempty"`
-	// Recompute carries the prompt when the engine has to compute the prefill.
+	// Recompute carries the prompt if the decode engine has to compute the prefill itself.
 	Recompute *PrefillOrder `json:"recompute,omitempty"`
 }
 
-// TokenLine is one line of a decode answer.
+// TokenLine is one line of the answer to a DecodeOrder.
 type TokenLine struct {
 	Attempt string `json:"a"`
 	Index   int    `json:"i"`
@@ -85,13 +88,13 @@
 	Last    bool   `json:"l,omitempty"`
 }
 
-// ReleaseOrder frees everything kept for an attempt and refuses any order of
-// that attempt that comes later.
+// ReleaseOrder asks the engine to free everything kept for an attempt and to refuse later
+// orders of that attempt.
 type ReleaseOrder struct {
 	Attempt string `json:"attempt"`
 }
 
-// Holds lists what the engine keeps.
+// Holds lists the memory that the engine keeps for attempts.
 type Holds struct {
 	Holds []Hold `json:"holds"`
 }
@@ -104,7 +107,7 @@
 	AgeMS int64 `json:"age_ms"`
 }
 
-// Load is the engine's load report; it may be seconds old.
+// Load is the engine's load report, which may be seconds old.
 type Load struct {
 	// Held is the number of decode slots in use.
 	Held int `json:"held"`
@@ -114,18 +117,19 @@
 
 // Events is a page of cache events.
 type Events struct {
-	// Next is where to read on; Gap says that events before these were lost.
+	// Next is where the next page begins; Gap reports whether events before these were lost.
 	Next   uint64  `json:"next"`
 	Gap    bool    `json:"gap,omitempty"`
 	Events []Event `json:"events"`
 }
 
-// Event says that the engine dropped a prefix from its cache.
+// Event reports that the engine evicted a prefix from its cache.
 type Event struct {
 	Evicted uint64 `json:"evicted"`
 }
 
-// Order is a fenced order: load a model, adapter or version, or change role.
+// Order is an order with a fencing token: to load a model, an adapter or a version, or to change
+// the role.
 type Order struct {
 	Fence uint64 `json:"fence"`
 	Kind  string `json:"kind"`
@@ -139,14 +143,14 @@
 	Code string `json:"code"`
 }
 
-// Codes of Error.
+// Values of Error.Code.
 const (
-	// CodeNotAccepted: the order was not taken; nothing ran.
+	// CodeNotAccepted means that the order was not accepted and nothing ran.
 	CodeNotAccepted = "not_accepted"
-	// CodeUnknownAttempt: what the order builds on is not kept any more.
+	// CodeUnknownAttempt means that the engine no longer keeps what the order needs.
 	CodeUnknownAttempt = "unknown_attempt"
-	// CodeFailed: the order was taken and failed.
+	// CodeFailed means that the order was accepted and failed.
 	CodeFailed = "failed"
-	// CodeStaleFence: a newer fence has been seen.
+	// CodeStaleFence means that the engine has seen a newer fencing token.
 	CodeStaleFence = "stale_fence"
 )
--- a/protocol/platformapi/platformapi.go
+++ b/protocol/platformapi/platformapi.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package platformapi is the shape of the platform's object API over HTTP:
-// objects with versions, conditional updates and watches, and the lagging
-// list of boxes.
+// Package platformapi defines the platform's object API over HTTP: objects with
+// versions, conditional updates and watches, and the list of boxes, which lags.
 package platformapi
 
 import "encoding/json"
@@ -13,32 +12,32 @@
 	PathObjects = "/objects/"
 	PathBoxes   = "/boxes"
 	// QueryVersion makes a write conditional on the version last read; 0
-	// means that the object must not exist.
+	// means that the object must not exist yet.
 	QueryVersion = "if_version"
-	// QueryAfter makes a read wait until the version is above the given one.
+	// QueryAfter makes a read wait until the version is higher than the given one.
 	QueryAfter = "after"
-	// QueryWaitMS bounds that wait, in milliseconds.
+	// QueryWaitMS is the longest time that such a read waits, in milliseconds.
 	QueryWaitMS = "wait_ms"
 )
 
-// MaxValue bounds an object's value, in bytes.
+// MaxValue is the largest value of an object, in bytes.
 const MaxValue = 1 << 20
 
-// Object is a value with its version. Version 0 means that there is none.
+// Object is a value with its version. Version 0 means that the object does not exist.
 type Object struct {
 	Version uint64          `json:"version"`
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Boxes is the platform's list, which lags behind what is.
+// Boxes is the platform's list of boxes, which lags behind the actual ones.
 type Boxes struct {
 	Boxes []Box `json:"boxes"`
 }
 
-// Box is one entry box.
+// Box is an entry box on the list.
 type Box struct {
 	Name string `json:"name"`
-	// Address is where other boxes reach it, an IP number and port.
+	// Address is the IP address and port at which other boxes reach it.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Leaving bool   `json:"leaving,omitempty"`
--- a/protocol/relayapi/orders.go
+++ b/protocol/relayapi/orders.go
@@ -10,23 +10,25 @@
 	"runridge.example/runridge/coordination/stages"
 )
 
-// OrderNames are the paths, fields and words of orders to engines.
+// OrderNames are the paths, JSON fields and values of orders to engines and their reports.
 type OrderNames struct {
 	Path, ReportPath string
-	// Operation is the field that says what to do, and ChangeStage its value for a
-	// change of the stage.
+	// Operation is the field for the kind of the order, and ChangeStage its value for
+	// a change of the engine's stage.
 	Operation, ChangeStage string
-	// Stage is the field, in orders and reports, for a stage; Prefill and Decode
-	// are its values.
+	// Stage is the field for a stage, in orders and reports; Prefill and Decode are
+	// its values.
 	Stage, Prefill, Decode string
-	Holder, Fence          string
-	// Expected is the field for the count of orders that an engine must have
-	// taken; Taken and Busy are those of a report that tell the count and that
-	// an order is under way.
+	// Holder is the field for the holder of the engine's lease, and Fence that for its
+	// fencing token.
+	Holder, Fence string
+	// Expected is the field for the number of orders that the engine must have carried
+	// out before. In a report, Taken is the field for that number, and Busy the one
+	// that is true while an order is in progress.
 	Expected, Taken, Busy string
 }
 
-// Write is the body of an order.
+// Write returns the JSON body of an order.
 func (n OrderNames) Write(o stages.Order) ([]byte, error) {
 	stage := n.Decode
 	if o.Prefill {
@@ -37,7 +39,7 @@
 	})
 }
 
-// ParseReport reads an engine's report.
+// ParseReport parses an engine's report. It returns an error if a field is missing or invalid.
 func (n OrderNames) ParseReport(body []byte) (stages.Report, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/protocol/relayapi/relayapi.go
+++ b/protocol/relayapi/relayapi.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package relayapi is the shape of opaque requests on the wire: the headers by
-// which a caller says what the box has to know of a request that it passes on
-// unread, and those by which a box and an endpoint understand each other. The
-// names are data, so that another protocol of the same shape needs no code.
+// Package relayapi defines the headers of requests whose bodies a box forwards
+// without reading them: those in which a caller states what the box needs to know,
+// and those between a box and an endpoint. The names are data, so that another
+// protocol of the same shape needs no code.
 package relayapi
 
 import (
@@ -19,49 +19,49 @@
 	"runridge.example/runridge/state/pace"
 )
 
-// Names are the names of headers, paths and fields.
+// Names are the names of headers, paths and JSON fields.
 type Names struct {
-	// RequestID is the caller's id of one attempt; endpoints echo it.
+	// RequestID is the header with the caller's id of one attempt; endpoints echo it.
 	RequestID string
-	// Deadline is how long the caller will wait, in milliseconds. A box passes
-	// on what is left.
+	// Deadline is how long the caller will wait, in milliseconds. A box forwards
+	// the remaining time.
 	Deadline string
-	// LastEvent is the id of the last event of a stream that is taken up again.
+	// LastEvent is the id of the last event received, when a stream is resumed.
 	LastEvent string
-	// Tokens and LengthHint describe a model request: prompt and most output
-	// tokens, and the caller's guess of the output tokens.
+	// Tokens and LengthHint describe a model request: its prompt tokens and maximum
+	// output tokens, and the caller's estimate of the output tokens.
 	Tokens, LengthHint string
-	// Signature is on every answer that an endpoint stands for.
+	// Signature is on every answer that an endpoint vouches for as its own.
 	Signature string
-	// NotRun is on an endpoint's answer that did not run the request.
+	// NotRun is on the answer of an endpoint that did not run the request.
 	NotRun string
-	// Instance is the start of an endpoint that a request is meant for.
+	// Instance identifies the endpoint process that a request is meant for.
 	Instance string
-	// Priority is the rank at an engine, 0 the most urgent.
+	// Priority is the rank of a request at an engine; 0 is the most urgent.
 	Priority string
 	// Stage asks an engine for a prefill; its value is StagePrefill.
 	Stage, StagePrefill string
-	// Source says where a decode engine fetches a prefill result.
+	// Source is where a decode engine fetches the prefill result from.
 	Source string
-	// Account names the client account to an endpoint.
+	// Account is the name of the client account, for endpoints.
 	Account string
-	// Limit is on answers of an endpoint that takes only so many requests a second from
-	// all boxes together.
+	// Limit is on answers of an endpoint that accepts a limited number of requests a second
+	// from all boxes together.
 	Limit string
-	// Leaving is on all answers of an endpoint that is about to end; its value is
+	// Leaving is on all answers of an endpoint that is about to shut down; its value is
 	// LeavingYes.
 	Leaving string
 	// Reserved are further headers that only a box may set.
 	Reserved []string
-	// FreePath, followed by a handle, is what frees a kept prefill result.
+	// FreePath, followed by a handle, is the path that frees a kept prefill result.
 	FreePath string
-	// HandleField and TokensField are in the answer to a prefill.
+	// HandleField and TokensField are fields of the answer to a prefill.
 	HandleField, TokensField string
-	// Orders are the names of orders to engines.
+	// Orders are the names used in orders to engines.
 	Orders OrderNames
 }
 
-// Default are runridge's own names.
+// Default returns runridge's own names.
 func Default() Names {
 	return Names{
 		RequestID:    "Runridge-Request-Id",
@@ -90,7 +90,8 @@
 	}
 }
 
-// OwnedByBox says whether only a box may set the header, whatever a caller sent.
+// OwnedByBox reports whether only a box may set the header, so that a caller's value for it
+// is dropped.
 func (n Names) OwnedByBox(header string) bool {
 	for _, own := range []string{n.Deadline, n.Instance, n.Priority, n.Stage, n.Source, n.Account} {
 		if strings.EqualFold(own, header) {
@@ -105,8 +106,8 @@
 	return false
 }
 
-// ParseDeadline reads a deadline header; false is none or one that is no
-// positive number.
+// ParseDeadline parses a deadline header in milliseconds. It reports false if the header is
+// missing, not a positive number, or more than a day.
 func ParseDeadline(text string) (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || ms <= 0 || ms > maxDeadlineMS {
@@ -115,19 +116,20 @@
 	return time.Duration(ms * float64(time.Millisecond)), true
 }
 
-// maxDeadlineMS is a day.
+// maxDeadlineMS is one day.
 const maxDeadlineMS = 24 * 60 * 60 * 1000
 
-// ParseTokens reads "prompt,output"; what cannot be read is 0.
+// ParseTokens parses "prompt,output"; a missing or invalid number gives 0.
 func ParseTokens(text string) (prompt, output int) {
 	first, second, _ := strings.Cut(text, ",")
-	return count(first), count(second)
+	return parseCount(first), parseCount(second)
 }
 
-// ParseHint reads the guess of the output tokens; 0 is none.
-func ParseHint(text string) int { return count(text) }
+// ParseHint parses the estimate of the output tokens; 0 means that there is none.
+func ParseHint(text string) int { return parseCount(text) }
 
-func count(text string) int {
+// parseCount parses a count; an invalid or negative one gives 0.
+func parseCount(text string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
 		return 0
@@ -135,7 +137,8 @@
 	return n
 }
 
-// ParseLimit reads the limit that an answer names; what cannot be read names none.
+// ParseLimit parses the limit header of an answer, in requests a second; an invalid one gives
+// no limit.
 func ParseLimit(text string) pace.Limit {
 	perSecond, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil {
@@ -144,15 +147,16 @@
 	return pace.LimitOf(perSecond)
 }
 
-// LeavingYes is the value of the header that says that an endpoint leaves.
+// LeavingYes is the value of the Leaving header of an endpoint that is about to shut down.
 const LeavingYes = "1"
 
-// headerRetryAfter is when to come again after an answer, in seconds (RFC 9110, section
-// 10.2.3). Dates, which it may have too, are passed over: clocks differ.
+// headerRetryAfter is the delay before the next request, in seconds (RFC 9110, section 10.2.3).
+// The RFC allows dates too; these are ignored, because clocks differ.
 const headerRetryAfter = "Retry-After"
 
-// ParseNotice reads what an answer says of its endpoint. Header gives the value of a field,
-// empty if there is none.
+// ParseNotice returns what an endpoint says of itself in an answer with a status. The function
+// header returns the value of a header field, empty if the answer has none. A rest counts only
+// with status 503.
 func (n Names) ParseNotice(status int, header func(name string) string) pace.Notice {
 	out := pace.Notice{
 		Limit:   ParseLimit(header(n.Limit)),
@@ -164,7 +168,8 @@
 	return out
 }
 
-// parseRest reads a time in seconds, fractions too; what cannot be read is none.
+// parseRest parses a number of seconds, which may have a fraction, and caps it at a day. An
+// invalid one gives 0.
 func parseRest(text string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || !(seconds > 0) {
@@ -173,10 +178,11 @@
 	return time.Duration(min(seconds, maxRestSeconds) * float64(time.Second))
 }
 
-// maxRestSeconds is a day.
+// maxRestSeconds is one day.
 const maxRestSeconds = 24 * 60 * 60
 
-// ParsePrefill reads an engine's answer to a prefill.
+// ParsePrefill parses an engine's answer to a prefill. A missing handle is an error, a missing
+// token count is not.
 func (n Names) ParsePrefill(body []byte) (handle string, tokens int, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -185,7 +191,7 @@
 	if err := json.Unmarshal(fields[n.HandleField], &handle); err != nil || handle == "" {
 		return "", 0, fmt.Errorf("answer to a prefill has no %s", n.HandleField)
 	}
-	// The count is of use for learning only.
+	// The count is only used to improve estimates, so an invalid one is ignored.
 	_ = json.Unmarshal(fields[n.TokensField], &tokens)
 	return handle, tokens, nil
 }
