--- a/protocol/relayapi/relayapi.go
+++ b/protocol/relayapi/relayapi.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// OwnedByBox reports whether only a box may set the header, so that a caller's value for it
-// is dropped.
+// OwnedByBox reports whether only a box may set the header; a caller's value for it is not
+// forwarded.
 func (n Names) OwnedByBox(header string) bool {
 	for _, own := range []string{n.Deadline, n.Instance, n.Priority, n.Stage, n.Source, n.Account} {
 		if strings.EqualFold(own, header) {
