--- a/box/assemble.go
+++ b/box/assemble.go
@@ -29,8 +29,8 @@
 	"runridge.example/runridge/transport/callerhttp"
 )
 
-// minKey is the least length of the key that boxes share, in bytes.
-const minKey = 16
+// minKeyBytes is the minimum length of the key that boxes share.
+const minKeyBytes = 16
 
 func readKey(path string) ([]byte, error) {
 	if path == "" {
@@ -40,13 +40,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("setting box_key_file: %w", err)
 	}
-	if len(key) < minKey {
-		return nil, invalid.FieldError{Field: "setting box_key_file", Value: path, Allowed: fmt.Sprintf("a file of at least %d bytes", minKey)}
+	if len(key) < minKeyBytes {
+		return nil, invalid.FieldError{Field: "setting box_key_file", Value: path, Allowed: fmt.Sprintf("a file of at least %d bytes", minKeyBytes)}
 	}
 	return key, nil
 }
 
-// assemble joins the parts.
+// assemble creates the parts of the box and connects them.
 func (b *Box) assemble(key []byte) {
 	s, o := b.settings, b.options
 	b.net = boxnet.New(b.netCtx, boxnet.Config{
@@ -67,7 +67,7 @@
 	}
 	b.others = others
 	b.router = home.NewRouter(s.Name, others)
-	b.spreadTo([]member.Box{{Name: s.Name, Zone: s.Zone}})
+	b.setSpread([]member.Box{{Name: s.Name, Zone: s.Zone}})
 	b.follower = follow.New(follow.Config{
 		Self:        s.Name,
 		Platform:    b.platform,
@@ -89,18 +89,18 @@
 		Self:        s.Name,
 		Incarnation: o.Incarnation,
 		Store:       records.Config{Window: o.Window},
-		Sender:      keyMessages{b},
-		Rank:        func(key string, boxes []string) []string { return rank.Of(boxes).First(key, keyRank) },
+		Sender:      dedupMessages{b},
+		Rank:        func(key string, boxes []string) []string { return rank.Of(boxes).First(key, recordReplicas) },
 	})
 	b.claimer = dedup.NewClaimer(dedup.ClaimerConfig{
 		Incarnation: o.Incarnation,
-		Asker:       keyMessages{b},
+		Asker:       dedupMessages{b},
 		Ranked:      b.router.Ranked,
 	})
 	b.releaser = cleanup.New(cleanup.Config{Engine: b.engine, Log: o.Log})
 	b.watch = watch.New(watch.Config{
 		Engine:   b.engine,
-		Homes:    homesOf{b},
+		Homes:    homesRef{b},
 		Checker:  b.router,
 		Owners:   owners,
 		Releaser: b.releaser,
@@ -183,8 +183,8 @@
 	})
 }
 
-// homesOf reaches the homes, which are made after the watch.
-type homesOf struct{ b *Box }
+// homesRef gives the watch access to the homes, which are created after it.
+type homesRef struct{ b *Box }
 
-// Offer hands a command to the box's homes.
-func (h homesOf) Offer(c home.Command) ring.Outcome { return h.b.homes.Offer(c) }
+// Offer queues a command for the box's homes.
+func (h homesRef) Offer(c home.Command) ring.Outcome { return h.b.homes.Offer(c) }
--- a/box/box.go
+++ b/box/box.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package box puts the parts of one entry box together and runs them. The
-// router's command and the tests start boxes through it.
+// Package box assembles one entry box from its parts and runs it. The router's command and
+// the tests start boxes through it.
 package box
 
 import (
@@ -43,27 +43,27 @@
 	"runridge.example/runridge/transport/platformhttp"
 )
 
-// Options are what the command and tests may set beside the settings.
+// Options are what the command and tests may set in addition to the settings.
 type Options struct {
-	// Policy is the scheduling policy; experiments change it.
+	// Policy is the scheduling policy; experiments override it.
 	Policy schedule.Policy
-	// Incarnation tells this start of the box from earlier ones; 0 takes the
-	// time.
+	// Incarnation distinguishes this start of the box from earlier ones; 0 means the
+	// current time in milliseconds.
 	Incarnation uint64
 	Log         log.Logger
 	// ProbePeriod is the time between two probes of other boxes.
 	ProbePeriod time.Duration
-	// Settle bounds how long a starting box waits for the others' word on the
-	// table.
+	// Settle bounds how long a starting box waits for other boxes to report their table.
 	Settle time.Duration
 	// Window is how long a request with an idempotency key is recognized.
 	Window time.Duration
-	// Platform serves routed services; nil means that there are none, and the
-	// platform keeps the table alone.
+	// Platform is the platform's client for routed services. If it is nil, there are no
+	// routed services, and the platform keeps only the table.
 	Platform RelayPlatform
-	// Names are the headers of routed services; nil is the product's own.
+	// Names are the header names of routed services; nil means the product's own.
 	Names *relayapi.Names
-	// HeldBytes is what the box may hold for callers; 0 is a part of its memory.
+	// HeldBytes bounds the data held in memory for callers; 0 means a fraction of the box's
+	// memory.
 	HeldBytes int64
 	// PollBoxes is how often the platform's list of boxes is read.
 	PollBoxes time.Duration
@@ -71,10 +71,10 @@
 
 const (
 	defaultPoll = 2 * time.Second
-	// probeShare is how much shorter a probe's timeout is than its period.
+	// probeShare is the ratio of the probe period to the probe timeout.
 	probeShare = 3
-	// keyRank is how many boxes keep a key's record.
-	keyRank = 2
+	// recordReplicas is how many boxes keep the record of an idempotency key.
+	recordReplicas = 2
 )
 
 // Box is one running entry box.
@@ -85,7 +85,8 @@
 	engine   *enginehttp.Client
 	plain    *plainhttp.Client
 	platform Platform
-	// ownPlatform is closed with the box.
+	// ownPlatform is the platform client that this box created and closes; nil if Options
+	// gave one.
 	ownPlatform *platformhttp.Client
 	net         *boxnet.Net
 	others      peers
@@ -94,7 +95,7 @@
 	router      *home.Router
 	releaser    *cleanup.Releaser
 	dispatch    *dispatch.Dispatcher
-	// decisions takes the homes' decisions to the part that asked.
+	// decisions passes the homes' decisions to the part that asked for them.
 	decisions  decisions
 	members    *members.Members
 	watch      *watch.Watch
@@ -104,7 +105,7 @@
 	notices    *notice.Keeper
 	callers    *callerhttp.Server
 	metrics    *metric.Metrics
-	// held bounds what is held in memory for callers.
+	// held bounds the memory that holds data for callers.
 	held *held.Budget
 
 	callerListener net.Listener
@@ -112,22 +113,23 @@
 	opListener     net.Listener
 	stopping       atomic.Bool
 	names          atomic.Pointer[boxwire.Names]
-	// zones are the zones of the other boxes by name.
+	// zones maps the names of the other boxes to their zones.
 	zones atomic.Pointer[map[string]string]
-	// spread says along which boxes updates and changes go.
+	// spread determines which boxes forward updates and table changes.
 	spread atomic.Pointer[spread.Fleet]
 	routed *routed
-	// stopTime, in nanoseconds, and lingerMS may change while the box runs.
+	// stopTime (the time for a planned stop, in nanoseconds) and lingerMS may change while
+	// the box runs.
 	stopTime, lingerMS atomic.Int64
 	// leavingSince is when a planned stop began, in nanoseconds since 1970.
 	leavingSince atomic.Int64
 	merging      merging
 	known        atomic.Pointer[directory.Directory]
 	netCtx       context.Context
-	endNet       context.CancelFunc
+	cancelNet    context.CancelFunc
 }
 
-// New makes a box and opens its listeners.
+// New creates a box and opens its listeners.
 func New(s setting.Box, o Options) (*Box, error) {
 	if o.Incarnation == 0 {
 		o.Incarnation = uint64(time.Now().UnixMilli())
@@ -159,13 +161,13 @@
 	b.engine, b.plain = enginehttp.New(b.notices), plainhttp.New(b.notices)
 	if o.Platform != nil {
 		counts := &callCounts{counts: make(map[string]int)}
-		platform := measured{
+		platform := meteredPlatform{
 			RelayPlatform: o.Platform,
 			metrics:       func() *metric.Metrics { return b.metrics },
 			counts:        counts,
 		}
 		b.platform = platform
-		b.routed = &routed{platform: platform, calls: counts, changed: ring.New[struct{}](1)}
+		b.routed = &routed{platform: platform, calls: counts, directoryChanged: ring.New[struct{}](1)}
 	} else {
 		b.ownPlatform = platformhttp.New(s.Platform)
 		b.platform = b.ownPlatform
@@ -174,11 +176,11 @@
 	b.held = held.New(held.Config{Bytes: cmp.Or(o.HeldBytes, heldBytes(s.MemoryLimitMB)), Log: o.Log})
 	b.stopTime.Store(stopTime(s))
 	b.lingerMS.Store(int64(s.LingerMS))
-	// The listeners come first: the box tells the others where it listens.
+	// Listeners are opened first: the box announces its address to the others.
 	if err := b.listen(); err != nil {
 		return nil, errors.Join(err, b.closeListeners())
 	}
-	b.netCtx, b.endNet = context.WithCancel(context.Background())
+	b.netCtx, b.cancelNet = context.WithCancel(context.Background())
 	if b.metrics, err = b.newMetrics(); err != nil {
 		return nil, err
 	}
@@ -207,7 +209,7 @@
 	return nil
 }
 
-// closeListeners closes those that were opened before one failed.
+// closeListeners closes the listeners opened so far, after one of them failed.
 func (b *Box) closeListeners() error {
 	opened := []net.Listener{b.callerListener, b.boxListener, b.opListener}
 	if b.routed != nil {
@@ -222,7 +224,7 @@
 	return err
 }
 
-// CallerAddr is where callers reach the box; empty if it serves none.
+// CallerAddr returns the address for callers, or an empty string if the box serves none.
 func (b *Box) CallerAddr() string {
 	if b.callerListener == nil {
 		return ""
@@ -230,33 +232,34 @@
 	return b.callerListener.Addr().String()
 }
 
-// OperatorAddr is where operators reach it.
+// OperatorAddr returns the address for operators.
 func (b *Box) OperatorAddr() string { return b.opListener.Addr().String() }
 
-// BoxAddr is where it listens for other boxes.
+// BoxAddr returns the address on which it listens for other boxes.
 func (b *Box) BoxAddr() string { return b.boxListener.Addr().String() }
 
-// Ready says whether the box takes requests: it has a table, knows the endpoints and
+// Ready reports whether the box accepts requests: it has a table, knows the endpoints and
 // the drained zones, and is not stopping.
 func (b *Box) Ready() bool {
 	known := b.routed == nil || b.merging.known.Load() && b.routed.drains.Ready()
 	return known && b.follower.Table().Generation > 0 && !b.stopping.Load()
 }
 
-// LiveBoxes is the number of boxes that this one takes for live, with itself.
+// LiveBoxes returns the number of boxes that this one considers live, itself included.
 func (b *Box) LiveBoxes() int { return b.router.Live() }
 
-// Table is the table in force.
+// Table returns the table in force.
 func (b *Box) Table() table.Table { return b.follower.Table() }
 
-// Offer takes a table as another box would hand it over.
+// Offer receives a table as if another box had sent it.
 func (b *Box) Offer(t table.Table) { b.follower.Offer(t) }
 
-// Heard takes in which table another box has in force, as its messages do.
+// Heard receives the stamp of the table that another box has in force, as messages between
+// boxes carry it.
 func (b *Box) Heard(from string, own table.Stamp) { b.follower.Heard(from, own) }
 
-// Active is the number of requests under way, with those whose callers have not read all of
-// the answer yet.
+// Active returns the number of requests in flight, including those whose callers have not
+// read the whole answer yet.
 func (b *Box) Active() int {
 	if b.routed == nil {
 		return b.dispatch.Active()
@@ -264,9 +267,9 @@
 	return b.dispatch.Active() + b.routed.relay.Active() + b.routed.server.Delivering()
 }
 
-// PendingReleases is the number of holds not yet acknowledged as free.
+// PendingReleases returns the number of holds whose release is not acknowledged yet.
 func (b *Box) PendingReleases() int { return b.releaser.Pending() }
 
-// Traffic is the bytes sent to and received from other boxes, and the
+// Traffic returns the bytes sent to and received from other boxes, and the number of
 // messages sent.
 func (b *Box) Traffic() (sent, received, messages uint64) { return b.net.Traffic() }
--- a/box/delta.go
+++ b/box/delta.go
@@ -14,15 +14,15 @@
 	"runridge.example/runridge/state/table"
 )
 
-// maxDelta bounds a change of the table once it is unpacked, in bytes: some
-// sixty times the whole table of 700 endpoints.
+// maxDelta bounds a change of the table after decompression, in bytes: about sixty times
+// the whole table of 700 endpoints.
 const maxDelta = 16 << 20
 
-// errDeltaTooLong is returned for a change that unpacks to more than maxDelta.
+// errDeltaTooLong is returned for a change that decompresses to more than maxDelta.
 var errDeltaTooLong = errors.New("change of the table is too long")
 
-// packDelta gives a change its form between boxes: JSON, compressed to a tenth, as many
-// routes that come at once would hold up a narrow link.
+// packDelta encodes a change for other boxes: JSON, compressed to about a tenth, since many
+// routes that change at once would congest a narrow link.
 func packDelta(d table.Delta) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -38,7 +38,7 @@
 	return out.Bytes(), nil
 }
 
-// unpackDelta reads what packDelta made.
+// unpackDelta decodes what packDelta encoded.
 func unpackDelta(data []byte) (table.Delta, error) {
 	var d table.Delta
 	r := flate.NewReader(bytes.NewReader(data))
--- a/box/delta_test.go
+++ b/box/delta_test.go
@@ -15,7 +15,7 @@
 	"runridge.example/runridge/state/table"
 )
 
-// manyRoutes is a change that adds routes.
+// manyRoutes returns a change that adds n routes.
 func manyRoutes(n int) table.Delta {
 	t := table.Table{Generation: 2}
 	for i := range n {
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, d) {
-		t.Error("the change came out otherwise")
+		t.Error("the decoded change differs from the original")
 	}
 }
 
@@ -72,10 +72,10 @@
 		data []byte
 		want error
 	}{
-		"more than the bound": {data: bomb.Bytes(), want: errDeltaTooLong},
-		"not compressed":      {data: []byte("{}")},
-		"cut":                 {data: whole[:len(whole)/2]},
-		"nothing":             {},
+		"over the limit": {data: bomb.Bytes(), want: errDeltaTooLong},
+		"not compressed": {data: []byte("{}")},
+		"truncated":      {data: whole[:len(whole)/2]},
+		"empty":          {},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/box/drain.go
+++ b/box/drain.go
@@ -12,7 +12,7 @@
 	zones "runridge.example/runridge/state/drain"
 )
 
-// newDrains makes the duty that follows the drained zones.
+// newDrains creates the keeper of the drained zones.
 func (b *Box) newDrains() *drain.Keeper {
 	return drain.New(drain.Config{
 		Self:     b.settings.Name,
@@ -30,22 +30,25 @@
 // setDrained puts the drained zones into force.
 func (b *Box) setDrained(z zones.Zones) { b.routed.discoverer.SetDrained(z.Names()) }
 
-// platformLost has what waits for the platform ask anew.
+// platformLost makes the table follower and the keeper of drained zones read again at once:
+// a wait that was pending when the platform was lost may never end.
 func (b *Box) platformLost() {
 	b.follower.Refresh()
 	b.routed.drains.Refresh()
 }
 
-// listSpread is the time over which boxes look whether they are still on the platform's list
-// after it came back older: all at once would be more than it answers.
-const listSpread = 3 * time.Second
+// listReadJitter is the time over which boxes spread their reads of the platform's list of
+// boxes after the platform came back with an older state: all of them at once would be more
+// than it can answer.
+const listReadJitter = 3 * time.Second
 
-// platformReturned has the box look for its entry on the platform's list.
+// platformReturned makes the box check, after a random delay, whether it is still on the
+// platform's list of boxes.
 func (b *Box) platformReturned() {
-	time.AfterFunc(rand.N(listSpread), b.members.ReadAgain)
+	time.AfterFunc(rand.N(listReadJitter), b.members.ReadAgain)
 }
 
-// drainedVersion is that of the drained zones that this box knows.
+// drainedVersion returns the version of the drained zones that this box knows.
 func (b *Box) drainedVersion() zones.Version {
 	if b.routed == nil {
 		return zones.Version{}
@@ -53,7 +56,7 @@
 	return b.routed.drains.Zones().Version()
 }
 
-// countDrained is how many zones are drained, and the revision of that.
+// countDrained returns the number of drained zones and the revision at which this is known.
 func (b *Box) countDrained() (zones int, revision uint64) {
 	if b.routed == nil || b.routed.drains == nil {
 		return 0, 0
@@ -64,16 +67,16 @@
 
 // SendDrained sends the drained zones to another box.
 func (p peers) SendDrained(to string, u zones.Update) {
-	// One that is lost is noticed by the revision of the next membership message.
+	// A receiver detects a lost update by the revision in the next membership message.
 	_ = p.net.Send(to, boxwire.FromDrained(u))
 }
 
-// SendDrainedPull asks another box for them.
+// SendDrainedPull asks another box for its drained zones.
 func (p peers) SendDrainedPull(to string) {
 	_ = p.net.Send(to, &boxwire.DrainedPull{})
 }
 
-// receiveDrained takes a message on drained zones, and says whether it was one.
+// receiveDrained handles a message about drained zones and reports whether it was one.
 func (b *Box) receiveDrained(from string, m boxwire.Message) bool {
 	if b.routed == nil {
 		return false
@@ -89,8 +92,9 @@
 	return true
 }
 
-// hearDrained takes in the version that another box names.
-func (b *Box) hearDrained(from string, m *boxwire.Member) {
+// receiveDrainedVersion compares the version of the drained zones in another box's
+// membership message with this box's.
+func (b *Box) receiveDrainedVersion(from string, m *boxwire.Member) {
 	if b.routed != nil {
 		b.routed.drains.Heard(from, m.DrainedVersion(b.routed.drains.Zones().At()))
 	}
--- a/box/measured.go
+++ b/box/measured.go
@@ -17,19 +17,18 @@
 	"runridge.example/runridge/state/drain"
 )
 
-// measured counts and times the calls to the platform.
-type measured struct {
+// meteredPlatform wraps a platform to count and time the calls to it.
+type meteredPlatform struct {
 	RelayPlatform
 	metrics func() *metric.Metrics
 	counts  *callCounts
 }
 
-// callReport is how often a box logs its calls to the platform, by kind: often
-// enough to see which kind grows in a fault, at a line each time.
-const callReport = 10 * time.Second
+// callReportInterval is how often a box logs its calls to the platform, by kind, one line
+// each time: often enough to see which kind grows during a fault.
+const callReportInterval = 10 * time.Second
 
-// callCounts counts the calls to the platform since the box started, by call
-// and result.
+// callCounts counts the calls to the platform since the box started, by call and result.
 type callCounts struct {
 	mutex  sync.Mutex
 	counts map[string]int
@@ -42,7 +41,7 @@
 	c.counts[call+"."+result]++
 }
 
-// fields are the counts as fields of a log line.
+// fields returns the counts as log fields.
 func (c *callCounts) fields() log.Fields {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -53,24 +52,24 @@
 	return out
 }
 
-// countsBytes is a platform that knows how many bytes passed.
-type countsBytes interface {
+// byteCounter is a platform client that counts the bytes it sends and receives.
+type byteCounter interface {
 	Traffic() (sent, received uint64)
 }
 
-// platformTraffic is the bytes sent to and received from the platform; 0 where it
-// does not count them.
+// platformTraffic returns the bytes sent to and received from the platform, or 0 if its
+// client does not count them.
 func (b *Box) platformTraffic() (sent, received uint64) {
-	if p, ok := b.options.Platform.(countsBytes); ok {
+	if p, ok := b.options.Platform.(byteCounter); ok {
 		return p.Traffic()
 	}
 	return 0, 0
 }
 
-// reportCalls is the duty that logs the calls to the platform until the context
-// ends.
+// reportCalls logs the calls to the platform at each interval, and once more when the
+// context ends.
 func (b *Box) reportCalls(ctx context.Context) error {
-	ticker := time.NewTicker(callReport)
+	ticker := time.NewTicker(callReportInterval)
 	defer ticker.Stop()
 	for {
 		ended := false
@@ -88,8 +87,8 @@
 	}
 }
 
-// note counts one call.
-func (m measured) note(call string, begin time.Time, err error) {
+// record counts one call by its result and records its duration.
+func (m meteredPlatform) record(call string, begin time.Time, err error) {
 	result := "ok"
 	switch {
 	case errors.Is(err, adapter.ErrConflict):
@@ -109,101 +108,101 @@
 	}
 }
 
-// Get reads or watches an object.
-func (m measured) Get(ctx context.Context, name string, after uint64) (adapter.Object, error) {
+// Get reads an object; with after above 0 it waits for a newer revision.
+func (m meteredPlatform) Get(ctx context.Context, name string, after uint64) (adapter.Object, error) {
 	begin, call := time.Now(), "get"
 	if after > 0 {
 		call = "watch"
 	}
 	o, err := m.RelayPlatform.Get(ctx, name, after)
-	m.note(call, begin, err)
+	m.record(call, begin, err)
 	return o, err
 }
 
-// GetOld reads an object as it may have stood some seconds ago.
-func (m measured) GetOld(ctx context.Context, name string) (adapter.Object, error) {
+// GetOld reads an object; what it returns may be some seconds old.
+func (m meteredPlatform) GetOld(ctx context.Context, name string) (adapter.Object, error) {
 	begin := time.Now()
 	o, err := m.RelayPlatform.GetOld(ctx, name)
-	m.note("get_old", begin, err)
+	m.record("get_old", begin, err)
 	return o, err
 }
 
 // Boxes reads the list of boxes.
-func (m measured) Boxes(ctx context.Context) ([]adapter.Box, error) {
+func (m meteredPlatform) Boxes(ctx context.Context) ([]adapter.Box, error) {
 	begin := time.Now()
 	list, err := m.RelayPlatform.Boxes(ctx)
-	m.note("list_boxes", begin, err)
+	m.record("list_boxes", begin, err)
 	return list, err
 }
 
 // Endpoints reads the list of endpoints.
-func (m measured) Endpoints(ctx context.Context, mayBeOld bool) ([]directory.Entry, uint64, error) {
+func (m meteredPlatform) Endpoints(ctx context.Context, mayBeOld bool) ([]directory.Entry, uint64, error) {
 	begin := time.Now()
 	list, at, err := m.RelayPlatform.Endpoints(ctx, mayBeOld)
-	m.note("list_endpoints", begin, err)
+	m.record("list_endpoints", begin, err)
 	return list, at, err
 }
 
 // EndpointChanges waits for changes of endpoints.
-func (m measured) EndpointChanges(ctx context.Context, after uint64, atOnce bool) ([]directory.Change, uint64, error) {
+func (m meteredPlatform) EndpointChanges(ctx context.Context, after uint64, atOnce bool) ([]directory.Change, uint64, error) {
 	begin := time.Now()
 	changes, at, err := m.RelayPlatform.EndpointChanges(ctx, after, atOnce)
-	m.note("watch_endpoints", begin, err)
+	m.record("watch_endpoints", begin, err)
 	return changes, at, err
 }
 
 // DrainedZones reads the list of drained zones.
-func (m measured) DrainedZones(ctx context.Context) ([]drain.Zone, uint64, error) {
+func (m meteredPlatform) DrainedZones(ctx context.Context) ([]drain.Zone, uint64, error) {
 	begin := time.Now()
 	list, at, err := m.RelayPlatform.DrainedZones(ctx)
-	m.note("list_drained", begin, err)
+	m.record("list_drained", begin, err)
 	return list, at, err
 }
 
 // DrainChanges waits for changes of drained zones.
-func (m measured) DrainChanges(ctx context.Context, after uint64) ([]drain.Change, uint64, error) {
+func (m meteredPlatform) DrainChanges(ctx context.Context, after uint64) ([]drain.Change, uint64, error) {
 	begin := time.Now()
 	changes, at, err := m.RelayPlatform.DrainChanges(ctx, after)
-	m.note("watch_drained", begin, err)
+	m.record("watch_drained", begin, err)
 	return changes, at, err
 }
 
 // Join puts a box on the list.
-func (m measured) Join(ctx context.Context, b adapter.Box) error {
+func (m meteredPlatform) Join(ctx context.Context, b adapter.Box) error {
 	begin := time.Now()
 	err := m.RelayPlatform.Join(ctx, b)
-	m.note("join", begin, err)
+	m.record("join", begin, err)
 	return err
 }
 
-// Lease reads who may give orders to an engine.
-func (m measured) Lease(ctx context.Context, engine string) (stages.Lease, error) {
+// Lease reads the lease that gives one box the right to order an engine's stage.
+func (m meteredPlatform) Lease(ctx context.Context, engine string) (stages.Lease, error) {
 	begin := time.Now()
 	l, err := m.RelayPlatform.Lease(ctx, engine)
-	m.note("lease", begin, err)
+	m.record("lease", begin, err)
 	return l, err
 }
 
-// WriteLease writes it.
-func (m measured) WriteLease(ctx context.Context, engine, holder string, mark, revision uint64) (uint64, error) {
+// WriteLease writes an engine's lease.
+func (m meteredPlatform) WriteLease(ctx context.Context, engine, holder string, mark, revision uint64) (uint64, error) {
 	begin := time.Now()
 	written, err := m.RelayPlatform.WriteLease(ctx, engine, holder, mark, revision)
-	m.note("write_lease", begin, err)
+	m.record("write_lease", begin, err)
 	return written, err
 }
 
-// EndLease removes it.
-func (m measured) EndLease(ctx context.Context, engine string, revision uint64) error {
+// EndLease removes an engine's lease.
+func (m meteredPlatform) EndLease(ctx context.Context, engine string, revision uint64) error {
 	begin := time.Now()
 	err := m.RelayPlatform.EndLease(ctx, engine, revision)
-	m.note("end_lease", begin, err)
+	m.record("end_lease", begin, err)
 	return err
 }
 
 // Remove takes a box off the list.
-func (m measured) Remove(ctx context.Context, name string, version uint64) error {
+func (m meteredPlatform) Remove(ctx context.Context, name string, version uint64) error {
 	begin := time.Now()
 	err := m.RelayPlatform.Remove(ctx, name, version)
-	m.note("remove", begin, err)
+	m.record("remove", begin, err)
 	return err
 }
--- a/box/merge.go
+++ b/box/merge.go
@@ -17,12 +17,12 @@
 	"runridge.example/runridge/state/table"
 )
 
-// merging joins the table and the directory into the groups that are scheduled.
+// merging combines the table and the directory into the groups that are scheduled.
 type merging struct {
-	mutex   sync.Mutex
-	inForce table.Table
-	groups  group.Groups
-	// known says that the groups have the endpoints of a list that was read.
+	mutex  sync.Mutex
+	table  table.Table
+	groups group.Groups
+	// known is set once the groups include the endpoints of a list that was read.
 	known atomic.Bool
 }
 
@@ -30,82 +30,82 @@
 func (b *Box) setTable(t table.Table) {
 	b.merging.mutex.Lock()
 	defer b.merging.mutex.Unlock()
-	b.merging.inForce = t
+	b.merging.table = t
 	if b.routed != nil {
 		b.routed.relay.SetTable(t)
 		b.routed.quotas.SetTable(t)
 	}
-	d := b.latest()
+	d := b.latestDirectory()
 	b.merging.groups = group.NewByRegion(t, d, b.regions)
-	b.gatherNames(d)
-	b.schedule()
+	b.rebuildNames(d)
+	b.applyGroups()
 }
 
-// setDirectory notes a new directory. What schedules gets it soon, together
-// with those that follow closely; what sends asks the directory itself.
+// setDirectory stores a new directory. The scheduling parts get it with the next merge,
+// together with changes that follow closely; the sending parts read the directory itself.
 func (b *Box) setDirectory(d directory.Directory) {
 	b.known.Store(&d)
-	// One that waits already says the same.
-	_ = b.routed.changed.Offer(struct{}{})
+	// A full queue means that a merge is pending already.
+	_ = b.routed.directoryChanged.Offer(struct{}{})
 }
 
 const (
-	// leastMergePause is the least time between two merges of the directory,
-	// and mergeShare the part of the time that merging may take.
-	leastMergePause = 5 * time.Millisecond
-	mergeShare      = 0.1
+	// minMergePause is the minimum time between two merges of the directory, and mergeShare
+	// the fraction of the time that merging may take.
+	minMergePause = 5 * time.Millisecond
+	mergeShare    = 0.1
 )
 
-// mergeChanges is the duty that gives changed directories to what schedules.
+// mergeChanges passes changed directories on to the scheduling parts until the context
+// ends.
 func (b *Box) mergeChanges(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-b.routed.changed.C():
+		case <-b.routed.directoryChanged.C():
 		}
 		begin := time.Now()
 		b.merge()
 		took := float64(time.Since(begin))
-		sleep.For(ctx, max(time.Duration(took/mergeShare), leastMergePause))
+		sleep.For(ctx, max(time.Duration(took/mergeShare), minMergePause))
 	}
 }
 
-// latest is the newest directory.
-func (b *Box) latest() directory.Directory {
+// latestDirectory returns the newest directory.
+func (b *Box) latestDirectory() directory.Directory {
 	if d := b.known.Load(); d != nil {
 		return *d
 	}
 	return directory.Directory{}
 }
 
-// merge takes the newest directory over into the groups.
+// merge applies the newest directory to the groups.
 func (b *Box) merge() {
 	b.merging.mutex.Lock()
 	defer b.merging.mutex.Unlock()
-	d, before := b.latest(), b.merging.groups
+	d, before := b.latestDirectory(), b.merging.groups
 	b.merging.groups = before.With(d)
 	ids, remembered := d.ChangedSince(before.Revision())
 	names := b.names.Load()
-	if !remembered || before.Layout() != b.merging.groups.Layout() || names.Len() > namesKept*(d.Len()+leastNames) {
-		b.gatherNames(d)
+	if !remembered || before.Layout() != b.merging.groups.Layout() || names.Len() > maxNamesFactor*(d.Len()+minNames) {
+		b.rebuildNames(d)
 	} else {
 		names.Add(ids...)
 	}
-	b.schedule()
+	b.applyGroups()
 }
 
 const (
-	// namesKept is how many times the names there are may be known, and leastNames
-	// how many are at least: those of endpoints that have gone are dropped all at
-	// once.
-	namesKept  = 2
-	leastNames = 2048
+	// The names are rebuilt once there are more than maxNamesFactor*(endpoints+minNames) of
+	// them, which drops the names of all removed endpoints at once.
+	maxNamesFactor = 2
+	minNames       = 2048
 )
 
-// gatherNames collects all names anew. The mutex is held.
-func (b *Box) gatherNames(d directory.Directory) {
-	t := b.merging.inForce
+// rebuildNames collects all names again. The caller holds the mutex.
+func (b *Box) rebuildNames(d directory.Directory) {
+	t := b.merging.table
 	accounts := make([]string, 0, len(t.Accounts))
 	for _, a := range t.Accounts {
 		accounts = append(accounts, a.Name)
@@ -117,11 +117,11 @@
 	b.names.Store(boxwire.NewNames(slices.Clone(b.merging.groups.Layout().Keys()), endpoints, accounts))
 }
 
-// schedule gives the groups to all that schedules. The mutex is held.
-func (b *Box) schedule() {
+// applyGroups passes the groups to the router and the homes. The caller holds the mutex.
+func (b *Box) applyGroups() {
 	b.router.SetGroups(b.merging.groups)
 	b.homes.SetGroups(b.merging.groups)
-	if b.latest().Known() {
+	if b.latestDirectory().Known() {
 		b.merging.known.Store(true)
 	}
 }
--- a/box/quarantine.go
+++ b/box/quarantine.go
@@ -13,7 +13,7 @@
 	"runridge.example/runridge/transport/reach"
 )
 
-// newQuarantine makes the duty that finds poison requests.
+// newQuarantine creates the keeper that detects poison requests.
 func (b *Box) newQuarantine() *quarantine.Keeper {
 	return quarantine.New(quarantine.Config{
 		Self:    b.settings.Name,
@@ -28,8 +28,8 @@
 	})
 }
 
-// findEndpoint tells what this box knows of an endpoint: one of routed services, or one
-// that the table names.
+// findEndpoint returns what this box knows of an endpoint, either of routed services or
+// from the table, and whether it is known.
 func (b *Box) findEndpoint(id string) (directory.Status, bool) {
 	if found, known := b.Directory().Status(id); known {
 		return found, true
@@ -40,16 +40,17 @@
 
 // SendSuspects sends suspected requests to another box.
 func (p peers) SendSuspects(to string, u poison.Update) {
-	// One that is lost is noticed by the digest of the next membership message.
+	// A receiver detects a lost update by the digest in the next membership message.
 	_ = p.net.Send(to, boxwire.FromSuspects(time.Now(), u))
 }
 
-// SendSuspectsPull asks another box for those that it knows.
+// SendSuspectsPull asks another box for the suspected requests that it knows.
 func (p peers) SendSuspectsPull(to string) {
 	_ = p.net.Send(to, &boxwire.SuspectsPull{})
 }
 
-// receiveSuspects takes a message on suspected requests, and says whether it was one.
+// receiveSuspects handles a message about suspected requests and reports whether it was
+// one.
 func (b *Box) receiveSuspects(from string, m boxwire.Message) bool {
 	switch m := m.(type) {
 	case *boxwire.Suspects:
--- a/box/regions.go
+++ b/box/regions.go
@@ -15,11 +15,12 @@
 	"runridge.example/runridge/state/spread"
 )
 
-// flowReport is how often a box logs what it has sent to the others: as often as
-// its calls to the platform.
-const flowReport = callReport
+// flowReportInterval is how often a box logs the bytes that it has sent to other boxes; it
+// matches the interval for platform calls.
+const flowReportInterval = callReportInterval
 
-// distanceTo is how far another box is. One whose zone is not known counts as near.
+// distanceTo returns the distance to another box. A box whose zone is not known counts as
+// being in the same region.
 func (b *Box) distanceTo(box string) locality.Distance {
 	zones := b.zones.Load()
 	if zones == nil {
@@ -32,19 +33,21 @@
 	return b.regions.Distance(b.settings.Zone, zone)
 }
 
-// spreadTo puts into force which boxes pass updates and changes on.
-func (b *Box) spreadTo(duty []member.Box) {
+// setSpread recomputes, from the boxes that have duties, which boxes forward updates and
+// table changes.
+func (b *Box) setSpread(duty []member.Box) {
 	f := spread.New(member.Box{Name: b.settings.Name, Zone: b.settings.Zone}, duty, b.regions)
 	b.spread.Store(&f)
 }
 
-// nearRanked lists the boxes of this box's region in their order for a key.
+// nearRanked returns the boxes of this box's region, ranked for a key.
 func (b *Box) nearRanked(key string) []string { return b.spread.Load().Near(key) }
 
-// tree orders those boxes for the tree in which what an origin tells goes round.
+// tree returns those boxes in the order of the forwarding tree for messages that start at
+// origin.
 func (b *Box) tree(key, origin string) []string { return b.spread.Load().Tree(key, origin) }
 
-// readers is how many boxes of a region read the platform for it.
+// readers returns how many boxes of a region read the platform for that region.
 func (b *Box) readers() int {
 	if b.regions.Several() {
 		return cover.RegionReaders
@@ -52,19 +55,20 @@
 	return cover.Readers
 }
 
-// listed says whether the platform's list of boxes was read, and those on it were
-// taken over.
+// listed reports whether the platform's list of boxes was read and the boxes on it are in
+// force here.
 func (b *Box) listed() bool {
 	list := b.members.Snapshot().Listed
 	return list != nil && (len(list) <= 1 || b.spread.Load().Len() > 1)
 }
 
-// heads names the boxes that take updates in for the other regions.
+// heads returns the boxes that receive updates on behalf of the other regions.
 func (b *Box) heads(key string) []string { return b.spread.Load().Heads(key) }
 
-// reportFlows is the duty that logs what was sent until the context ends.
+// reportFlows logs the bytes sent to other boxes at each interval, and once more when the
+// context ends.
 func (b *Box) reportFlows(ctx context.Context) error {
-	ticker := time.NewTicker(flowReport)
+	ticker := time.NewTicker(flowReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -77,7 +81,7 @@
 	}
 }
 
-// flowFields are the bytes sent so far, as fields of a log line.
+// flowFields returns the bytes sent so far as log fields, by kind of message and distance.
 func (b *Box) flowFields() log.Fields {
 	out := make(log.Fields)
 	for _, f := range b.net.Flows() {
@@ -86,7 +90,7 @@
 	return out
 }
 
-// flows is what was sent so far, for the metrics.
+// flows returns the bytes sent so far, for the metrics.
 func (b *Box) flows() []metric.Flow {
 	var out []metric.Flow
 	for _, f := range b.net.Flows() {
--- a/box/repeat.go
+++ b/box/repeat.go
@@ -8,39 +8,38 @@
 	"runridge.example/runridge/protocol/boxwire"
 )
 
-// keyMessages takes the messages about requests that come again to other
-// boxes, or to this one without the network.
-type keyMessages struct {
+// dedupMessages delivers the messages about repeated requests to other boxes, or to this
+// one without the network.
+type dedupMessages struct {
 	b *Box
 }
 
-func (k keyMessages) send(to string, m boxwire.Message) {
+func (k dedupMessages) send(to string, m boxwire.Message) {
 	if to == k.b.settings.Name {
-		k.b.receiveRepeat(to, m)
+		k.b.receiveDedup(to, m)
 		return
 	}
-	// Every question is asked again when its answer stays away.
+	// Every request is sent again when its answer is overdue.
 	_ = k.b.net.Send(to, m)
 }
 
-// SendClaim asks a key's first box.
-func (k keyMessages) SendClaim(to string, c dedup.Claim) { k.send(to, &boxwire.Claim{Body: c}) }
+// SendClaim sends a claim to the first box in the ranking of its key.
+func (k dedupMessages) SendClaim(to string, c dedup.Claim) { k.send(to, &boxwire.Claim{Body: c}) }
 
 // SendReply answers a claim.
-func (k keyMessages) SendReply(to string, r dedup.Reply) { k.send(to, &boxwire.Reply{Body: r}) }
+func (k dedupMessages) SendReply(to string, r dedup.Reply) { k.send(to, &boxwire.Reply{Body: r}) }
 
-// SendCopy takes a record to the second box.
-func (k keyMessages) SendCopy(to string, c dedup.Copy) { k.send(to, &boxwire.Copy{Body: c}) }
+// SendCopy sends a record to the box that keeps its second copy.
+func (k dedupMessages) SendCopy(to string, c dedup.Copy) { k.send(to, &boxwire.Copy{Body: c}) }
 
-// SendCopied answers a copy.
-func (k keyMessages) SendCopied(to string, c dedup.Copied) { k.send(to, &boxwire.Copied{Body: c}) }
+// SendCopied acknowledges a copy.
+func (k dedupMessages) SendCopied(to string, c dedup.Copied) { k.send(to, &boxwire.Copied{Body: c}) }
 
-// SendJoin asks the owner of a request.
-func (k keyMessages) SendJoin(to string, j dedup.Join) { k.send(to, &boxwire.Join{Body: j}) }
+// SendJoin asks the box that owns a request for its result.
+func (k dedupMessages) SendJoin(to string, j dedup.Join) { k.send(to, &boxwire.Join{Body: j}) }
 
-// receiveRepeat takes a message about requests that come again and reports
-// whether it was one.
-func (b *Box) receiveRepeat(from string, m boxwire.Message) bool {
+// receiveDedup handles a message about repeated requests and reports whether it was one.
+func (b *Box) receiveDedup(from string, m boxwire.Message) bool {
 	switch m := m.(type) {
 	case *boxwire.Claim:
 		_ = b.keeper.Receive(from, m.Body)
@@ -51,7 +50,7 @@
 	case *boxwire.Reply:
 		b.claimer.Replied(m.Body)
 	case *boxwire.Join:
-		keyMessages{b}.send(from, &boxwire.Piece{Body: b.dispatch.Piece(m.Body)})
+		dedupMessages{b}.send(from, &boxwire.Piece{Body: b.dispatch.Piece(m.Body)})
 	case *boxwire.Piece:
 		b.claimer.Answered(m.Body)
 	default:
--- a/box/routed.go
+++ b/box/routed.go
@@ -36,7 +36,7 @@
 	"runridge.example/runridge/transport/upstream"
 )
 
-// Platform is what a box reads of the platform.
+// Platform is what a box reads from the platform.
 type Platform interface {
 	follow.Platform
 	members.Platform
@@ -51,7 +51,7 @@
 	stages.Leases
 }
 
-// routed is the part of a box that serves routed services.
+// routed holds the parts of a box that serve routed services.
 type routed struct {
 	platform   RelayPlatform
 	relay      *relay.Relay
@@ -65,23 +65,24 @@
 	calls      *callCounts
 	listener   net.Listener
 	ready      net.Listener
-	// changed is poked when the directory has changed.
-	changed *ring.Ring[struct{}]
+	// directoryChanged gets a value when the directory has changed.
+	directoryChanged *ring.Ring[struct{}]
 }
 
 const (
-	// spareBoxes is how many boxes that join may not be known yet when a
-	// bound is shared out.
+	// spareBoxes is how many joining boxes, not known here yet, are allowed for when a
+	// bound is divided among the boxes.
 	spareBoxes = 2
-	// readyPatience bounds the reading of one question of the balancer.
-	readyPatience = 2 * time.Second
-	// freshSettle is how long a box that starts waits for a table of its own or
-	// of another box when the platform's reads are never stale: a few round trips
-	// to a box and one retry.
-	freshSettle = 300 * time.Millisecond
+	// readyHeaderTimeout bounds the reading of the headers of one readiness check by the
+	// balancer.
+	readyHeaderTimeout = 2 * time.Second
+	// routedSettle is how long a starting box waits for a table, from the platform or from
+	// another box, where the platform's reads are never stale: a few round trips to a box
+	// and one retry.
+	routedSettle = 300 * time.Millisecond
 )
 
-// assembleRouted makes the parts for routed services.
+// assembleRouted creates the parts for routed services.
 func (b *Box) assembleRouted(names relayapi.Names) {
 	s := b.settings.Relay
 	r := b.routed
@@ -114,7 +115,7 @@
 		Self:    b.settings.Name,
 		Leases:  r.platform,
 		Engines: r.endpoints,
-		Homes:   homesOf{b},
+		Homes:   homesRef{b},
 		Find:    b.findEngine,
 		Known:   func(id string) bool { _, ok := r.discoverer.Directory().Status(id); return ok },
 		Rules:   stageRulesOf(s),
@@ -163,7 +164,7 @@
 	})
 }
 
-// Directory is what is known of the endpoints; empty without routed services.
+// Directory returns what is known of the endpoints; it is empty without routed services.
 func (b *Box) Directory() directory.Directory {
 	if b.routed == nil {
 		return directory.Directory{}
@@ -171,20 +172,22 @@
 	return b.routed.discoverer.Directory()
 }
 
-// bornOf is the start of an endpoint of routed services, as far as the directory tells.
+// bornOf returns when an endpoint of routed services started, as far as the directory
+// knows, or 0.
 func (b *Box) bornOf(endpoint string) int64 {
 	s, _ := b.Directory().Status(endpoint)
 	return s.Born
 }
 
-// knownBoxes is the number of boxes that there may be: those that look dead
-// from here may be cut off, and go on with their part of a shared bound.
+// knownBoxes returns the number of boxes that may exist. Boxes that look dead from here are
+// included: they may be cut off and still use their part of a shared bound.
 func (b *Box) knownBoxes() int {
 	s := b.members.Snapshot()
 	return max(len(s.All), len(s.Listed))
 }
 
-// connectionShare is this box's part of the connections to one endpoint.
+// connectionShare returns this box's part of the connections allowed to one endpoint of a
+// service; 0 means no bound.
 func (b *Box) connectionShare(service string) int {
 	s, ok := b.follower.Table().Service(service)
 	if !ok || s.MaxConnections <= 0 {
@@ -194,16 +197,16 @@
 }
 
 const (
-	// defaultReads is the platform's rate of reads, in calls a second, where
-	// the settings say nothing.
+	// defaultReads is the platform's rate limit on reads, in calls a second, if the
+	// settings give none.
 	defaultReads = 1000
-	// readShare is the part of the platform's rate that following the changes
-	// of endpoints may take, over all boxes.
+	// readShare is the fraction of the platform's read rate that waiting for changes of
+	// endpoints may use, over all boxes.
 	readShare = 0.3
 )
 
-// changePause is the time between two waits for changes that keeps all boxes
-// together within their part of the platform's rate.
+// changePause returns the pause between two waits for changes that keeps all boxes together
+// within their part of the platform's read rate.
 func (b *Box) changePause() time.Duration {
 	reads := b.settings.PlatformReadsPerSecond
 	if reads <= 0 {
@@ -223,8 +226,8 @@
 	return nil
 }
 
-// RelayAddr is where callers reach the box's routed services; empty if it
-// serves none.
+// RelayAddr returns the address for callers of routed services, or an empty string if the
+// box serves none.
 func (b *Box) RelayAddr() string {
 	if b.routed == nil {
 		return ""
@@ -232,8 +235,8 @@
 	return b.routed.listener.Addr().String()
 }
 
-// ReadyAddr is where the platform's balancer asks whether the box is ready;
-// empty if it serves no routed services.
+// ReadyAddr returns the address at which the platform's balancer checks readiness, or an
+// empty string if the box serves no routed services.
 func (b *Box) ReadyAddr() string {
 	if b.routed == nil {
 		return ""
@@ -241,7 +244,7 @@
 	return b.routed.ready.Addr().String()
 }
 
-// serveReady answers the platform's balancer until the context ends.
+// serveReady answers the balancer's readiness checks until the context ends.
 func (b *Box) serveReady(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+callerapi.PathReady, func(w http.ResponseWriter, _ *http.Request) {
@@ -249,7 +252,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: readyPatience}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readyHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(b.routed.ready); !errors.Is(err, http.ErrServerClosed) {
@@ -258,7 +261,7 @@
 	return nil
 }
 
-// decisions hands the homes' decisions to whichever part asked.
+// decisions passes the homes' decisions to the part that asked for them.
 type decisions struct {
 	// relay is nil on a box without routed services.
 	relay    *relay.Relay
@@ -266,7 +269,8 @@
 	notices  *notice.Keeper
 }
 
-// Decide takes a decision for a request of this box.
+// Decide passes on a decision for a request of this box, after noting the endpoints' limits
+// that it carries.
 func (d decisions) Decide(from, group string, decision schedule.Decision) {
 	switch dec := decision.(type) {
 	case schedule.Grant:
@@ -280,7 +284,8 @@
 	d.dispatch.Decide(from, group, decision)
 }
 
-// Check tells a home which of the attempts are over.
+// Check reports to a home which of the given attempts of this box are over. Attempts that
+// the relay still owns are left out; the dispatcher handles the others.
 func (d decisions) Check(from, group, engine string, ids []lifecycle.AttemptID) {
 	var others []lifecycle.AttemptID
 	for _, id := range ids {
@@ -291,7 +296,7 @@
 	d.dispatch.Check(from, group, engine, others)
 }
 
-// relayNames are the headers of routed services.
+// relayNames returns the header names of routed services.
 func (o Options) relayNames() relayapi.Names {
 	if o.Names != nil {
 		return *o.Names
@@ -299,28 +304,28 @@
 	return relayapi.Default()
 }
 
-// settle bounds the wait for the others' word on the table at a start.
+// settle returns the bound on the wait, at a start, for other boxes to report their table.
 func (b *Box) settle() time.Duration {
 	if b.options.Settle <= 0 && b.routed != nil {
-		return freshSettle
+		return routedSettle
 	}
 	return b.options.Settle
 }
 
-// routedWait bounds one wait for a new table by a box that reads the platform
-// for all. It is short, so that a watch that the platform has dropped without a
-// word is made anew within the 2 s in which a change has to be in force.
-const routedWait = 1500 * time.Millisecond
+// routedTableWait bounds one wait for a new table by a box that reads the platform for
+// other boxes. It is short so that a watch that the platform dropped silently is renewed
+// within the 2 s in which a change has to take effect.
+const routedTableWait = 1500 * time.Millisecond
 
 func (b *Box) tableWait() time.Duration {
 	if b.routed != nil {
-		return routedWait
+		return routedTableWait
 	}
 	return 0
 }
 
-// tableReads has the boxes that read the list of endpoints for all read the
-// table too: what covers a box covers it for both.
+// tableReads makes the boxes that read the list of endpoints for others read the table too,
+// so that both reads cover the same boxes.
 func (b *Box) tableReads() func() bool {
 	if b.routed == nil {
 		return nil
@@ -328,8 +333,9 @@
 	return func() bool { return b.routed.discoverer.Reading() }
 }
 
-// watchSetter names engines to the watch, which speaks the product's own
-// protocol for engines; those of routed services speak another.
+// watchSetter returns the function that passes engines to the watch. The watch speaks the
+// product's own engine protocol; engines of routed services speak another, so they have
+// none.
 func (b *Box) watchSetter() func(group string, engines []table.Endpoint) {
 	if b.routed != nil {
 		return nil
@@ -337,8 +343,7 @@
 	return b.watch.Set
 }
 
-// serveCallers serves the box's own interface, if it has one, until the
-// context ends.
+// serveCallers serves the box's own completions API, if it has one, until the context ends.
 func (b *Box) serveCallers(ctx context.Context) error {
 	if b.callerListener == nil {
 		<-ctx.Done()
@@ -347,7 +352,7 @@
 	return b.callers.Serve(ctx, b.callerListener)
 }
 
-// Reload puts into force what may change while the box runs.
+// Reload applies the settings that may change while the box runs.
 func (b *Box) Reload(s setting.Box) {
 	limitMemory(s.MemoryLimitMB)
 	b.stopTime.Store(stopTime(s))
@@ -361,12 +366,12 @@
 	}
 }
 
-// stopTime is the time given to a planned stop, in nanoseconds.
+// stopTime returns the time for a planned stop, in nanoseconds.
 func stopTime(s setting.Box) int64 {
 	return int64(s.StopSeconds * float64(time.Second))
 }
 
-// budgetOf is the bound on retries that the settings give.
+// budgetOf returns the retry budget from the settings.
 func budgetOf(s setting.Relay) retry.Config {
 	return retry.Config{
 		Ratio:  s.RetryRatio,
@@ -375,25 +380,26 @@
 	}
 }
 
-// stopTaking ends the listener and the connections on which no request is
-// under way; what is under way goes on to its end.
-func (b *Box) stopTaking() {
+// stopAccepting closes the listener and the idle connections; requests in flight continue
+// to their end.
+func (b *Box) stopAccepting() {
 	_ = b.routed.listener.Close()
 	b.routed.server.CloseResting()
 }
 
-// endRouted ends the connections of callers.
-func (b *Box) endRouted(ctx context.Context) {
-	call, cancel := context.WithTimeout(ctx, restingWait)
+// closeRouted waits for callers' connections to close, then closes the connections to
+// endpoints.
+func (b *Box) closeRouted(ctx context.Context) {
+	call, cancel := context.WithTimeout(ctx, idleConnectionWait)
 	defer cancel()
 	b.routed.server.Wait(call)
 	b.routed.endpoints.Close()
 }
 
-// restingWait is how long connections without a request may take to end.
-const restingWait = 300 * time.Millisecond
+// idleConnectionWait bounds the wait for connections without a request to close.
+const idleConnectionWait = 300 * time.Millisecond
 
-// leaveRouted tells callers that the box is leaving.
+// leaveRouted announces to callers that the box is leaving.
 func (b *Box) leaveRouted() {
 	if b.routed != nil {
 		b.routed.server.Leave()
--- a/box/run.go
+++ b/box/run.go
@@ -21,53 +21,53 @@
 	"runridge.example/runridge/transport/operatorhttp"
 )
 
-// Run serves until the context ends, then finishes what is in flight.
+// Run serves until the context ends, then finishes the requests in flight.
 func (b *Box) Run(ctx context.Context) error {
-	// The duties outlive the listener: requests in flight still need them.
-	duties, endDuties := context.WithCancel(context.WithoutCancel(ctx))
-	defer endDuties()
+	// Background tasks outlive the listener: requests in flight still need them.
+	background, cancelBackground := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelBackground()
 	var running errgroup.Group
-	running.Go(func() error { return b.follower.Run(duties) })
-	running.Go(func() error { return b.homes.Run(duties) })
-	running.Go(func() error { return b.releaser.Run(duties) })
-	running.Go(func() error { return b.net.Serve(duties, b.boxListener) })
-	running.Go(func() error { return operatorhttp.Serve(duties, b.opListener, b.Status, b.metrics.Handler()) })
-	running.Go(func() error { return b.members.Run(duties) })
-	running.Go(func() error { return b.watch.Run(duties) })
-	running.Go(func() error { return b.reportFlows(duties) })
-	running.Go(func() error { return b.quarantine.Run(duties) })
+	running.Go(func() error { return b.follower.Run(background) })
+	running.Go(func() error { return b.homes.Run(background) })
+	running.Go(func() error { return b.releaser.Run(background) })
+	running.Go(func() error { return b.net.Serve(background, b.boxListener) })
+	running.Go(func() error { return operatorhttp.Serve(background, b.opListener, b.Status, b.metrics.Handler()) })
+	running.Go(func() error { return b.members.Run(background) })
+	running.Go(func() error { return b.watch.Run(background) })
+	running.Go(func() error { return b.reportFlows(background) })
+	running.Go(func() error { return b.quarantine.Run(background) })
 	if b.routed != nil {
-		running.Go(func() error { return b.routed.discoverer.Run(duties) })
-		running.Go(func() error { return b.routed.drains.Run(duties) })
-		running.Go(func() error { return b.mergeChanges(duties) })
-		running.Go(func() error { return b.routed.registry.Run(duties) })
-		running.Go(func() error { return b.routed.stages.Run(duties) })
-		running.Go(func() error { return b.reportCalls(duties) })
-		running.Go(func() error { return b.serveReady(duties) })
-		running.Go(func() error { return b.routed.server.Serve(duties, b.routed.listener) })
+		running.Go(func() error { return b.routed.discoverer.Run(background) })
+		running.Go(func() error { return b.routed.drains.Run(background) })
+		running.Go(func() error { return b.mergeChanges(background) })
+		running.Go(func() error { return b.routed.registry.Run(background) })
+		running.Go(func() error { return b.routed.stages.Run(background) })
+		running.Go(func() error { return b.reportCalls(background) })
+		running.Go(func() error { return b.serveReady(background) })
+		running.Go(func() error { return b.routed.server.Serve(background, b.routed.listener) })
 	}
-	running.Go(func() error { return b.keeper.Run(duties) })
+	running.Go(func() error { return b.keeper.Run(background) })
 	b.options.Log.WithFields(log.Fields{
 		"callers": b.CallerAddr(), "boxes": b.BoxAddr(), "operator": b.OperatorAddr(),
 		"relay": b.RelayAddr(), "ready": b.ReadyAddr(),
 	}).Info("box_started")
-	serving, endServing := context.WithCancel(duties)
-	defer endServing()
-	leave := context.AfterFunc(ctx, func() {
-		b.leave(duties)
-		endServing()
+	serving, cancelServing := context.WithCancel(background)
+	defer cancelServing()
+	stopLeave := context.AfterFunc(ctx, func() {
+		b.leave(background)
+		cancelServing()
 	})
-	defer leave()
+	defer stopLeave()
 	served := b.serveCallers(serving)
 	if b.routed != nil {
-		b.stopTaking()
+		b.stopAccepting()
 	}
-	b.drain(duties, time.Unix(0, b.leavingSince.Load()))
+	b.drain(background, time.Unix(0, b.leavingSince.Load()))
 	if b.routed != nil {
-		b.endRouted(duties)
+		b.closeRouted(background)
 	}
-	endDuties()
-	b.endNet()
+	cancelBackground()
+	b.cancelNet()
 	err := errors.Join(served, running.Wait())
 	err = errors.Join(err, b.metrics.Close(context.WithoutCancel(ctx)))
 	b.engine.Close()
@@ -79,8 +79,8 @@
 	return err
 }
 
-// leave makes the box not ready and gives its duties to others, and goes on
-// serving for as long as the platform's balancer lags behind.
+// leave makes the box not ready and hands its duties over to other boxes. It then waits,
+// while the box still serves, for as long as the platform's balancer lags behind.
 func (b *Box) leave(ctx context.Context) {
 	b.leavingSince.Store(time.Now().UnixNano())
 	b.stopping.Store(true)
@@ -91,13 +91,13 @@
 	sleep.For(ctx, time.Duration(b.lingerMS.Load())*time.Millisecond)
 }
 
-// drain waits until no request is in flight and no hold is left to free, or
-// until the time of a planned stop that began at the given time is up.
+// drain waits until no request is in flight and no hold is left to release, or until the
+// time for the planned stop, which began at begun, is over.
 func (b *Box) drain(ctx context.Context, begun time.Time) {
 	bound := time.NewTimer(b.stopBound() - time.Since(begun))
 	defer bound.Stop()
-	look := time.NewTicker(drainLook)
-	defer look.Stop()
+	poll := time.NewTicker(drainPollInterval)
+	defer poll.Stop()
 	for b.Active()+b.PendingReleases() > 0 {
 		select {
 		case <-ctx.Done():
@@ -105,30 +105,30 @@
 		case <-bound.C:
 			b.options.Log.WithFields(log.Fields{"cut": b.dispatch.ActiveIDs()}).Warn("stop_bound_reached")
 			return
-		case <-look.C:
+		case <-poll.C:
 		}
 	}
 }
 
 const (
-	defaultStop = 30 * time.Second
-	drainLook   = 5 * time.Millisecond
+	defaultStopTimeout = 30 * time.Second
+	drainPollInterval  = 5 * time.Millisecond
 )
 
-// stopShare is the part of a planned stop's time in which requests may end;
-// the rest is for the process itself.
+// stopShare is the fraction of a planned stop's time in which requests may finish; the rest
+// is for the process to exit.
 const stopShare = 0.9
 
-// stopBound is how long a planned stop may take.
+// stopBound returns how long a planned stop may take.
 func (b *Box) stopBound() time.Duration {
 	if given := b.stopTime.Load(); given > 0 {
 		return time.Duration(float64(given) * stopShare)
 	}
-	return defaultStop
+	return defaultStopTimeout
 }
 
-// membersChanged puts a changed view into force: who has duties, and where
-// each box is.
+// membersChanged puts a changed membership into force: which boxes have duties, and the
+// address and zone of each box.
 func (b *Box) membersChanged(s members.Snapshot) {
 	peers := make(map[string]boxnet.Peer, len(s.All))
 	zones := make(map[string]string, len(s.All))
@@ -137,8 +137,8 @@
 		zones[other.Name] = other.Zone
 		lost.Starts[other.Name] = other.Start
 		if other.Name != b.settings.Name {
-			// The dead are still sent probes, so that both sides of a cut
-			// find each other afterwards.
+			// Dead boxes are still probed, so that both sides of a network partition find
+			// each other once it heals.
 			peers[other.Name] = boxnet.Peer{
 				Address: other.Address, Start: other.Start, Version: boxwire.Version(other.Wire),
 			}
@@ -152,7 +152,7 @@
 		live = append(live, other.Name)
 	}
 	b.zones.Store(&zones)
-	b.spreadTo(s.Duty)
+	b.setSpread(s.Duty)
 	b.net.SetPeers(peers)
 	b.router.SetLive(
 		rank.Of(live).In(zones, b.regions),
--- a/box/shared.go
+++ b/box/shared.go
@@ -15,8 +15,8 @@
 	limits "runridge.example/runridge/state/quota"
 )
 
-// fleet is how many boxes this one sees of all that there may be; it cannot tell
-// before the platform's list was read.
+// fleet returns how many boxes this one sees out of all that may exist. It is empty until
+// the platform's list was read, because the total is not known before.
 func (b *Box) fleet() quota.Fleet {
 	s := b.members.Snapshot()
 	if s.Listed == nil {
@@ -25,26 +25,28 @@
 	return quota.Fleet{Seen: b.router.Live(), All: max(len(s.All), len(s.Listed))}
 }
 
-// standing is this box's part in a group.
+// standing returns this box's role in a group: whether it is the home and for how long, and
+// how many boxes it sees.
 func (b *Box) standing(group string) pace.Standing {
 	f := b.fleet()
 	homeFor, own := b.router.HomeFor(group)
 	return pace.Standing{Home: own, For: homeFor, Seen: f.Seen, All: f.All}
 }
 
-// coldBoundOf is what the settings allow cold endpoints beyond their pace.
+// coldBoundOf returns how far the settings let cold endpoints exceed their pace.
 func coldBoundOf(s setting.Relay) pace.Bound {
 	return pace.Bound{Overage: s.ColdOverage, Slack: s.ColdSlack}
 }
 
-// pauseRouted ends what this box may have counted for others while it stood still.
+// pauseRouted drops the quota buckets that this box kept as a home: while its process was
+// paused, other homes may have granted the same quota.
 func (b *Box) pauseRouted() {
 	if b.routed != nil {
 		b.routed.quotas.Paused()
 	}
 }
 
-// quotaBoundOf is what the settings allow beyond a quota.
+// quotaBoundOf returns how far the settings let accounts exceed their quotas.
 func quotaBoundOf(s setting.Relay) limits.Bound {
 	return limits.Bound{
 		Window:  time.Duration(s.QuotaWindowSeconds * float64(time.Second)),
@@ -53,7 +55,7 @@
 	}
 }
 
-// stageRulesOf is what the settings say of the stages of engines.
+// stageRulesOf returns the settings for the stages of engines.
 func stageRulesOf(s setting.Relay) stages.Rules {
 	return stages.Rules{
 		Planned: s.Stages == setting.StagesPlanned,
@@ -63,7 +65,7 @@
 	}
 }
 
-// findEngine gives an engine that may get orders.
+// findEngine returns an engine, and whether it is known, usable and open to requests.
 func (b *Box) findEngine(id string) (stages.Engine, bool) {
 	w, ok := b.routed.discoverer.Directory().Status(id)
 	if !ok || !w.Usable() || !b.notices.Standing(id).Open() {
@@ -72,20 +74,20 @@
 	return stages.Engine{ID: w.ID, Service: w.Service, Address: w.Address, Born: w.Born}, true
 }
 
-// laterStages reaches the part that orders changes of stages, which is made after
-// the homes.
-type laterStages struct{ b *Box }
+// stagesRef gives the homes access to the keeper that changes engines' stages, which is
+// created after them.
+type stagesRef struct{ b *Box }
 
-// Part is the pinned part, and whether stages are planned.
-func (l laterStages) Part() (float64, bool) { return l.b.routed.stages.Part() }
+// Part returns the pinned fraction of engines that prefill, and whether stages are planned.
+func (l stagesRef) Part() (float64, bool) { return l.b.routed.stages.Part() }
 
-// Offer queues the changes of a group.
-func (l laterStages) Offer(c home.StageChanges) ring.Outcome { return l.b.routed.stages.Offer(c) }
+// Offer queues a group's changes of stages.
+func (l stagesRef) Offer(c home.StageChanges) ring.Outcome { return l.b.routed.stages.Offer(c) }
 
-// stages are what carries out changes of stages; nil without routed services.
+// stages returns the part that carries out changes of stages; nil without routed services.
 func (b *Box) stages() home.Stages {
 	if b.routed == nil {
 		return nil
 	}
-	return laterStages{b}
+	return stagesRef{b}
 }
--- a/box/status.go
+++ b/box/status.go
@@ -14,7 +14,7 @@
 	"runridge.example/runridge/transport/operatorhttp"
 )
 
-// Status is what the box tells its operators.
+// Status returns the box's state for its operators.
 func (b *Box) Status() operatorhttp.Status {
 	following := b.follower.Status()
 	sent, received, messages := b.net.Traffic()
@@ -73,7 +73,8 @@
 	return s
 }
 
-// peerVersions counts the boxes that have greeted this one by the version that they read.
+// peerVersions counts the boxes that have greeted this one, by the protocol version that
+// they read.
 func (b *Box) peerVersions() map[uint16]int {
 	out := make(map[uint16]int)
 	for _, p := range b.net.Versions() {
@@ -82,8 +83,8 @@
 	return out
 }
 
-// unknownMessages counts the messages that this build did not know or could not read. A kind
-// without a name goes by its number.
+// unknownMessages counts, by kind, the messages that this build does not know or cannot
+// read. A kind without a name is listed by its number.
 func (b *Box) unknownMessages() map[string]uint64 {
 	out := make(map[string]uint64)
 	for k, count := range b.net.Unknown() {
@@ -92,7 +93,7 @@
 	return out
 }
 
-// groupHomes lists the groups with their homes.
+// groupHomes lists the groups with their homes, as this box sees them.
 func (b *Box) groupHomes() []operatorhttp.GroupHome {
 	members := b.members.Snapshot()
 	var out []operatorhttp.GroupHome
@@ -122,7 +123,7 @@
 	return out
 }
 
-// newMetrics makes the box's instruments.
+// newMetrics creates the box's metrics.
 func (b *Box) newMetrics() (*metric.Metrics, error) {
 	return metric.New(metric.Config{
 		Active:     b.Active,
--- a/box/update_bench_test.go
+++ b/box/update_bench_test.go
@@ -34,10 +34,10 @@
 	return e
 }
 
-// BenchmarkEndpointUpdate is what one endpoint's update costs a box from the
-// directory to the router. Working all out anew took 0.26 ms and 158 KB with 30
-// endpoints and 30 boxes, 3.5 ms and 1.8 MB with 300 and 300, and 47 ms and 21.5 MB
-// with 3,000 and 300; docs/CAPACITY.md has what it takes now.
+// BenchmarkEndpointUpdate measures what one endpoint's update costs a box, from the
+// directory to the router. Recomputing everything took 0.26 ms and 158 KB with 30 endpoints
+// and 30 boxes, 3.5 ms and 1.8 MB with 300 and 300, and 47 ms and 21.5 MB with 3,000 and
+// 300; docs/CAPACITY.md has the current figures.
 func BenchmarkEndpointUpdate(b *testing.B) {
 	for _, endpoints := range []int{30, 300, 3000} {
 		for _, boxes := range []int{30, 100, 300} {
--- a/box/wire.go
+++ b/box/wire.go
@@ -22,13 +22,13 @@
 	"runridge.example/runridge/transport/boxnet"
 )
 
-// peers turns commands and decisions into messages to other boxes.
+// peers sends commands, decisions and state updates to other boxes.
 type peers struct {
 	net   *boxnet.Net
 	table func() table.Stamp
-	// age is how long ago the platform confirmed the table in force.
+	// age returns the time since the platform last confirmed the table in force.
 	age func() time.Duration
-	// drained is the version of the drained zones, and suspects the digest of the
+	// drained returns the version of the drained zones, and suspects the digest of the
 	// suspected requests.
 	drained  func() zones.Version
 	suspects func() uint64
@@ -39,18 +39,18 @@
 	return p.net.Send(box, commandMessage(c))
 }
 
-// SendDecision sends a home's decision to the box that asked.
+// SendDecision sends a home's decision to the box that asked for it.
 func (p peers) SendDecision(box, group string, d schedule.Decision) ring.Outcome {
 	return p.net.Send(box, boxwire.FromDecision(group, d))
 }
 
-// SendCheck asks another box about its attempts.
+// SendCheck asks another box which of its attempts are over.
 func (p peers) SendCheck(box, group, engine string, ids []lifecycle.AttemptID) ring.Outcome {
 	return p.net.Send(box, boxwire.FromCheck(group, engine, ids))
 }
 
-// SendMember sends a membership message with the table's generation, the version
-// of the drained zones and the digest of the suspected requests.
+// SendMember sends a membership message. It also carries the stamp and age of this box's
+// table, the version of the drained zones and the digest of the suspected requests.
 func (p peers) SendMember(box string, m member.Message) ring.Outcome {
 	own := p.table()
 	out := boxwire.Member{
@@ -63,7 +63,8 @@
 	return p.net.Send(box, packed)
 }
 
-// ageMS is an age on the wire; -1 is not known.
+// ageMS encodes an age for the wire, in milliseconds; -1 means that the table was never
+// confirmed.
 func ageMS(age time.Duration) int64 {
 	if age == follow.NeverConfirmed {
 		return -1
@@ -71,7 +72,7 @@
 	return age.Milliseconds()
 }
 
-// ageOf reads an age from the wire.
+// ageOf decodes an age that ageMS encoded.
 func ageOf(ms int64) time.Duration {
 	if ms < 0 {
 		return follow.NeverConfirmed
@@ -84,9 +85,9 @@
 	return p.net.Send(to, boxwire.FromQuotaAsk(a))
 }
 
-// SendAnswer answers such an ask.
+// SendAnswer sends the answer to a quota request.
 func (p peers) SendAnswer(to string, a quota.Answer) {
-	// One that is lost is asked for again.
+	// A lost answer is requested again.
 	_ = p.net.Send(to, boxwire.FromQuotaAnswer(a))
 }
 
@@ -97,24 +98,25 @@
 		panic(err)
 	}
 	for _, box := range to {
-		// A change that is lost is noticed by the generation of the next message.
+		// A receiver detects a lost change by the generation in the next message.
 		_ = p.net.Send(box, &boxwire.Change{Delta: data})
 	}
 }
 
-// SendPull asks another box for what came after a table.
+// SendPull asks another box for the changes after a version of the table.
 func (p peers) SendPull(to string, have table.Stamp) {
 	_ = p.net.Send(to, &boxwire.Pull{Have: have.Generation, Version: have.Version})
 }
 
-// SendUpdate tells other boxes what has changed among the endpoints.
+// SendUpdate sends other boxes the changes of endpoints.
 func (p peers) SendUpdate(n directory.Update, to ...string) {
 	m, err := boxwire.FromUpdate(n, p.table())
 	if err != nil {
 		panic(err)
 	}
 	for _, box := range to {
-		// An update that is lost leaves a gap before the next, which is asked for.
+		// A lost update leaves a gap before the next one, and the receiver asks for what is
+		// missing.
 		_ = p.net.Send(box, m)
 	}
 }
@@ -124,7 +126,7 @@
 	_ = p.net.Send(to, boxwire.NewUpdatePull(have))
 }
 
-// receiveChange reads a change of the table.
+// receiveChange decodes a change of the table and passes it to the follower.
 func (b *Box) receiveChange(from string, m *boxwire.Change) {
 	d, err := unpackDelta(m.Delta)
 	if err != nil {
@@ -159,12 +161,12 @@
 	}
 }
 
-// receive takes a message from another box. What names something that this
-// box's table does not have is dropped: its sender asks again, and by then the
-// tables agree.
+// receive handles a message from another box. A message that refers to something missing in
+// this box's table is dropped: its sender asks again, and the tables have converged by
+// then.
 func (b *Box) receive(sender boxwire.Owner, m boxwire.Message) {
 	from := sender.Box
-	if b.receiveRepeat(from, m) || b.receiveDrained(from, m) || b.receiveSuspects(from, m) {
+	if b.receiveDedup(from, m) || b.receiveDrained(from, m) || b.receiveSuspects(from, m) {
 		return
 	}
 	names := b.names.Load()
@@ -183,7 +185,7 @@
 		b.receiveMember(from, m)
 		b.follower.Heard(from, m.Table())
 		b.follower.Confirmed(m.Table(), ageOf(m.AgeMS))
-		b.hearDrained(from, m)
+		b.receiveDrainedVersion(from, m)
 		b.quarantine.Heard(from, m.Suspects)
 	case *boxwire.QuotaAsk:
 		if b.routed != nil {
@@ -209,18 +211,18 @@
 	}
 }
 
-// receiveMember takes a message of membership.
+// receiveMember handles a membership message.
 func (b *Box) receiveMember(from string, m *boxwire.Member) {
 	message, err := m.Open()
 	if err != nil {
 		b.options.Log.WithFields(log.Fields{"peer": from}).WithError(err).Warn("member_bad")
 		return
 	}
-	// One that finds no room is lost, as a network would lose it.
+	// A message that does not fit into the queue is dropped, as the network might drop it.
 	_ = b.members.Receive(from, message)
 }
 
-// receiveUpdate takes an update of the endpoints.
+// receiveUpdate handles an update of the endpoints.
 func (b *Box) receiveUpdate(from string, m *boxwire.Update) {
 	if b.routed == nil {
 		return
@@ -233,14 +235,14 @@
 	b.routed.discoverer.Receive(from, n)
 }
 
-// receiveCommand takes a message to a group that this box may be home of.
+// receiveCommand passes a message on to a group that this box may be the home of.
 func (b *Box) receiveCommand(sender boxwire.Owner, names *boxwire.Names, m boxwire.Message) {
 	offer := func(group boxwire.Ref, body home.Body) {
 		key, known := names.Name(group)
 		if !known {
 			key = ""
 		}
-		// A command that finds no room is lost; its sender asks again.
+		// A command that does not fit into the queue is dropped; its sender asks again.
 		_ = b.homes.Offer(home.Command{From: sender.Box, Group: key, Body: body})
 	}
 	switch m := m.(type) {
@@ -264,7 +266,7 @@
 	}
 }
 
-// advertised is where other boxes reach it.
+// advertised returns the address at which other boxes reach this one.
 func (b *Box) advertised() string {
 	if b.settings.BoxAdvertise != "" {
 		return b.settings.BoxAdvertise
