--- a/modules/command/command.go
+++ b/modules/command/command.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package command is what the programs' entry points share.
+// Package command is shared by the entry points of the programs.
 package command
 
 import (
@@ -18,20 +18,20 @@
 	ExitFailure = 1
 )
 
-// New makes a parser for a program's subcommands.
+// New returns a parser for a program's subcommands.
 func New(name string) *flags.Parser {
 	return flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 }
 
-// Add registers a subcommand; a clash of names is a mistake in the code.
+// Add registers a subcommand. It panics if the name is taken, which is a programming error.
 func Add(parser *flags.Parser, name, short, long string, data any) {
 	if _, err := parser.AddCommand(name, short, long, data); err != nil {
 		panic(err)
 	}
 }
 
-// Run parses the command line, runs the subcommand, prints its error, and
-// returns the exit code. Code, if set, chooses it for an error.
+// Run parses the command line, runs the subcommand, prints its error and returns the exit
+// code. If code is set, it maps an error to the exit code.
 func Run(parser *flags.Parser, code func(error) int) int {
 	_, err := parser.Parse()
 	var usage *flags.Error
--- a/modules/invalid/invalid.go
+++ b/modules/invalid/invalid.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package invalid says what is wrong with input: which field, what stands
-// there and what is allowed. Settings, tables and callers' requests share it.
+// Package invalid describes what is wrong with input: which field, its value and what is
+// allowed. Settings, tables and callers' requests share it.
 package invalid
 
 import (
@@ -10,23 +10,23 @@
 	"strings"
 )
 
-// FieldError is one field with a value that is not allowed.
+// FieldError reports a field whose value is not allowed.
 type FieldError struct {
-	// Field names the field, with the row or object that it is part of.
+	// Field names the field, including the row or object that it belongs to.
 	Field   string
 	Value   string
 	Allowed string
 }
 
-// Error gives the problem in one line.
+// Error returns the problem in one line.
 func (e FieldError) Error() string {
 	return fmt.Sprintf("%s is %q, allowed: %s", e.Field, e.Value, e.Allowed)
 }
 
-// FieldErrors is all that is wrong; it is an error when not empty.
+// FieldErrors lists all problems of an input; it is an error if it is not empty.
 type FieldErrors []FieldError
 
-// Error gives one problem a line.
+// Error returns the problems, one a line.
 func (e FieldErrors) Error() string {
 	lines := make([]string, 0, len(e))
 	for _, one := range e {
--- a/modules/log/log.go
+++ b/modules/log/log.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package log writes one line of key=value pairs for each event.
+// Package log writes each event as one line of key=value pairs.
 package log
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Field names shared by all events, so that lines of several processes can be
-// merged by key.
+// Field names shared by all events, so that lines of several processes can be joined by
+// key.
 const (
 	FieldBox         = "box"
 	FieldIncarnation = "incarnation"
 	FieldRequest     = "request"
-	// FieldAsk is a box's own id of one attempt; homes know requests by it.
+	// FieldAsk is a box's own id of one attempt; the logs of homes identify requests by it.
 	FieldAsk        = "ask"
 	FieldAttempt    = "attempt"
 	FieldEngine     = "engine"
@@ -34,14 +34,14 @@
 
 // Config configures a logger.
 type Config struct {
-	// Level is one of logrus's level names; empty means info.
+	// Level is a logrus level name; empty means info.
 	Level string
 	// Output receives the lines.
 	Output io.Writer
 }
 
-// New makes a logger that writes key=value lines. It returns an error that
-// names the level if it is not known.
+// New returns a logger that writes key=value lines. An unknown level is an error that names
+// it.
 func New(cfg Config) (*logrus.Logger, error) {
 	name := cfg.Level
 	if name == "" {
--- a/modules/log/writer.go
+++ b/modules/log/writer.go
@@ -13,49 +13,48 @@
 )
 
 const (
-	// queuedLines bounds the lines that wait to be written.
+	// queuedLines is the capacity of the queue of lines.
 	queuedLines = 4096
-	// linesPerSecond bounds the lines written; a burst of one second's may go
-	// at once.
+	// linesPerSecond limits the rate of lines written; a burst may hold one second's worth.
 	linesPerSecond = 2000
-	// reportEvery is how often dropped lines are reported.
-	reportEvery = time.Second
-	// closeWait bounds the wait at the end for lines that the output has not taken:
-	// a process that is told to stop has a fixed time for all.
-	closeWait = 200 * time.Millisecond
+	// reportInterval is how often dropped lines are reported.
+	reportInterval = time.Second
+	// closeTimeout bounds how long Close waits for lines that the output has not accepted:
+	// a process that is told to stop has a fixed time for everything.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Writer takes lines without ever waiting for the place that they go to. Lines
-// beyond its bounds are dropped and counted.
+// Writer accepts lines without ever blocking on its output. Lines beyond the queue's
+// capacity or the rate limit are dropped and counted.
 type Writer struct {
-	out   io.Writer
-	lines *ring.Ring[[]byte]
-	ended chan struct{}
-	done  chan struct{}
-	once  sync.Once
+	out     io.Writer
+	lines   *ring.Ring[[]byte]
+	closing chan struct{}
+	done    chan struct{}
+	once    sync.Once
 
-	mutex   sync.Mutex
-	now     func() time.Time
-	tokens  float64
-	filled  time.Time
-	dropped int
+	mutex      sync.Mutex
+	now        func() time.Time
+	tokens     float64
+	lastRefill time.Time
+	dropped    int
 }
 
-// NewWriter starts a writer to out; Close ends it.
+// NewWriter starts a writer to out; Close stops it.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{
-		out:    out,
-		lines:  ring.New[[]byte](queuedLines),
-		ended:  make(chan struct{}),
-		done:   make(chan struct{}),
-		now:    time.Now,
-		tokens: linesPerSecond,
+		out:     out,
+		lines:   ring.New[[]byte](queuedLines),
+		closing: make(chan struct{}),
+		done:    make(chan struct{}),
+		now:     time.Now,
+		tokens:  linesPerSecond,
 	}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It never fails and never blocks on the output.
+// Write queues one line. It never fails and never blocks on the output.
 func (w *Writer) Write(line []byte) (int, error) {
 	if !w.admit() || w.lines.Offer(append([]byte{}, line...)) == ring.Full {
 		w.mutex.Lock()
@@ -65,15 +64,15 @@
 	return len(line), nil
 }
 
-// admit takes one line from what the rate allows.
+// admit takes a token from the bucket and reports whether there was one.
 func (w *Writer) admit() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.now()
-	if !w.filled.IsZero() {
-		w.tokens = min(w.tokens+now.Sub(w.filled).Seconds()*linesPerSecond, linesPerSecond)
+	if !w.lastRefill.IsZero() {
+		w.tokens = min(w.tokens+now.Sub(w.lastRefill).Seconds()*linesPerSecond, linesPerSecond)
 	}
-	w.filled = now
+	w.lastRefill = now
 	if w.tokens < 1 {
 		return false
 	}
@@ -81,28 +80,28 @@
 	return true
 }
 
-// Close writes what waits, as far as the output takes it at once, and ends the
-// writer.
+// Close writes the queued lines as far as the output accepts them within closeTimeout, and
+// stops the writer.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.ended) })
+	w.once.Do(func() { close(w.closing) })
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
 func (w *Writer) run() {
 	defer close(w.done)
-	report := time.NewTicker(reportEvery)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	for {
 		select {
 		case line := <-w.lines.C():
-			// There is nowhere to say that the output is broken.
+			// There is no other place to report that the output fails.
 			_, _ = w.out.Write(line)
 		case <-report.C:
 			w.report()
-		case <-w.ended:
+		case <-w.closing:
 			w.drain()
 			return
 		}
@@ -116,7 +115,7 @@
 	w.report()
 }
 
-// report tells how many lines were dropped since the last report.
+// report writes how many lines were dropped since the last report, if any.
 func (w *Writer) report() {
 	w.mutex.Lock()
 	dropped := w.dropped
--- a/modules/log/writer_test.go
+++ b/modules/log/writer_test.go
@@ -12,42 +12,43 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// patience bounds the wait for what must come.
-const patience = 10 * time.Second
+// waitTimeout bounds the wait for an expected event.
+const waitTimeout = 10 * time.Second
 
-// slow is an output that takes nothing until it is let go.
-type slow struct {
-	let   chan struct{}
-	mutex sync.Mutex
-	text  strings.Builder
+// blockedWriter is an output that blocks every write until release is closed.
+type blockedWriter struct {
+	release chan struct{}
+	mutex   sync.Mutex
+	text    strings.Builder
 }
 
-func (s *slow) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.release
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.text.Write(p)
 }
 
 func TestWriter(t *testing.T) {
-	convey.Convey("An output that stands still holds nobody up, and what was dropped is counted", t, func() {
-		out := &slow{let: make(chan struct{})}
+	convey.Convey("A blocked output does not block writers, and dropped lines are counted", t, func() {
+		out := &blockedWriter{release: make(chan struct{})}
 		w := NewWriter(out)
 		for range linesPerSecond + queuedLines + 10 {
 			n, err := w.Write([]byte("line\n"))
 			convey.So(n, convey.ShouldEqual, 5)
 			convey.So(err, convey.ShouldBeNil)
 		}
-		close(out.let)
+		close(out.release)
 		w.Close()
-		// Close does not wait for ever; the test does.
+		// Close gives up after a timeout; the test waits for the writer's goroutine to
+		// finish.
 		<-w.done
 		convey.So(out.text.String(), convey.ShouldContainSubstring, "log_lines_dropped count=")
 		convey.So(strings.Count(out.text.String(), "line\n"), convey.ShouldBeLessThanOrEqualTo, linesPerSecond+queuedLines)
 	})
-	convey.Convey("The end does not wait for an output that stands still for good", t, func() {
-		out := &slow{let: make(chan struct{})}
-		defer close(out.let)
+	convey.Convey("Close does not wait for an output that is blocked for good", t, func() {
+		out := &blockedWriter{release: make(chan struct{})}
+		defer close(out.release)
 		w := NewWriter(out)
 		_, _ = w.Write([]byte("line\n"))
 		closed := make(chan struct{})
@@ -57,11 +58,11 @@
 		}()
 		select {
 		case <-closed:
-		case <-time.After(patience):
-			t.Error("the writer waits for its output")
+		case <-time.After(waitTimeout):
+			t.Error("Close is blocked by the output")
 		}
 	})
-	convey.Convey("The rate is bounded, and comes back with time", t, func() {
+	convey.Convey("The rate is limited, and tokens are refilled over time", t, func() {
 		now := time.Unix(1_700_000_000, 0)
 		w := &Writer{now: func() time.Time { return now }, tokens: linesPerSecond}
 		admitted := 0
--- a/modules/metric/labels.go
+++ b/modules/metric/labels.go
@@ -6,21 +6,21 @@
 import "sync"
 
 const (
-	// maxLabels bounds the values of a label: each one is kept and scraped for as
-	// long as the process runs, and there may be 1,400 accounts.
+	// maxLabels limits the values of a label: each one is kept and scraped for as long as
+	// the process runs, and there may be 1,400 accounts.
 	maxLabels = 50
-	// otherLabel stands for all values beyond.
+	// otherLabel replaces all values beyond the limit.
 	otherLabel = "other"
 )
 
-// labels keeps the values of a label to the first ones seen.
+// labels limits a label to the first maxLabels values seen.
 type labels struct {
 	mutex sync.Mutex
 	seen  map[string]struct{}
 }
 
-// of is the value itself, or otherLabel.
-func (l *labels) of(value string) string {
+// limit returns the value itself, or otherLabel once there are too many values.
+func (l *labels) limit(value string) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if _, known := l.seen[value]; known {
--- a/modules/metric/limit.go
+++ b/modules/metric/limit.go
@@ -10,22 +10,23 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// limitInstruments makes those of endpoints that name a limit.
+// limitInstruments creates the instruments for endpoints that announce a limit.
 func (m *Metrics) limitInstruments(meter metric.Meter) error {
 	var err error
-	if m.limited, err = meter.Int64Counter("runridge.limit.granted", metric.WithUnit("{request}"), metric.WithDescription("Requests granted by this box's homes for endpoints that name a limit, by service.")); err != nil {
+	if m.limitGranted, err = meter.Int64Counter("runridge.limit.granted", metric.WithUnit("{request}"), metric.WithDescription("Requests granted by this box's homes for endpoints that announce a limit, by service.")); err != nil {
 		return err
 	}
-	m.limitDenied, err = meter.Int64Counter("runridge.limit.refused", metric.WithUnit("{request}"), metric.WithDescription("Refusals by this box's homes while endpoints were held back by the limits that they name, by service."))
+	m.limitRefused, err = meter.Int64Counter("runridge.limit.refused", metric.WithUnit("{request}"), metric.WithDescription("Refusals by this box's homes while endpoints were held back by the limits that they announce, by service."))
 	return err
 }
 
-// LimitGranted counts requests granted for endpoints of a service that name a limit.
+// LimitGranted counts requests granted for endpoints of a service that announce a limit.
 func (m *Metrics) LimitGranted(service string, requests int) {
-	m.limited.Add(context.Background(), int64(requests), metric.WithAttributes(attribute.String("service", service)))
+	m.limitGranted.Add(context.Background(), int64(requests), metric.WithAttributes(attribute.String("service", service)))
 }
 
-// LimitRefused counts a refusal while endpoints of a service were held back by their limits.
+// LimitRefused counts a refusal while endpoints of a service were held back by the limits
+// that they announce.
 func (m *Metrics) LimitRefused(service string) {
-	m.limitDenied.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
+	m.limitRefused.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
--- a/modules/metric/metric.go
+++ b/modules/metric/metric.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package metric counts what a box does, by OpenTelemetry, and serves it to a
-// Prometheus scraper. docs/METRICS.md lists names and units.
+// Package metric records what a box does with OpenTelemetry and serves it to a Prometheus
+// scraper. docs/METRICS.md lists names and units.
 package metric
 
 import (
@@ -18,76 +18,77 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// Config says what is read when somebody asks.
+// Config has the functions that are called at each scrape.
 type Config struct {
-	// Active and Releasing are requests under way and holds not yet free.
+	// Active and Releasing return the number of requests in flight and of holds not
+	// released yet.
 	Active, Releasing func() int
-	// Generation is the table in force.
+	// Generation returns the generation of the table in force.
 	Generation func() uint64
-	// Drained is the number of drained availability zones, and the revision of the
-	// change that it is known by.
+	// Drained returns the number of drained availability zones and the revision at which
+	// this is known.
 	Drained func() (zones int, revision uint64)
-	// Traffic is bytes sent and received between boxes, and messages sent.
+	// Traffic returns the bytes sent and received between boxes, and the number of messages
+	// sent.
 	Traffic func() (sent, received, messages uint64)
-	// Held is the bytes held in memory for callers, by what for.
+	// Held returns the bytes held in memory for callers, by purpose.
 	Held func() map[string]int64
-	// Unknown is the messages of other boxes that were not known or could not be read, by
-	// kind.
+	// Unknown returns, by kind, the number of messages from other boxes that were not known
+	// or could not be read.
 	Unknown func() map[string]uint64
-	// Flows is what was sent to other boxes by kind of message and distance.
+	// Flows returns the bytes sent to other boxes, by kind of message and distance.
 	Flows func() []Flow
 }
 
-// Flow is the bytes sent in messages of one kind to boxes at one distance.
+// Flow is the number of bytes sent in messages of one kind to boxes at one distance.
 type Flow struct {
 	Kind, Distance string
 	Bytes          uint64
 }
 
-// Metrics is one box's instruments.
+// Metrics holds the instruments of one box.
 type Metrics struct {
-	provider   *sdk.MeterProvider
-	handler    http.Handler
-	requests   metric.Int64Counter
-	firstToken metric.Float64Histogram
-	perToken   metric.Float64Histogram
-	attempts   metric.Int64Counter
-	sends      metric.Int64Counter
-	denied     metric.Int64Counter
-	broken     metric.Int64Counter
-	ended      metric.Int64Counter
-	poison     metric.Int64Counter
-	quotas     metric.Int64Counter
-	orders     metric.Int64Counter
-	cold       metric.Int64Counter
-	coldDenied metric.Int64Counter
-	limited    metric.Int64Counter
-	// limitDenied counts refusals.
-	limitDenied metric.Int64Counter
-	accounts    labels
-	calls       metric.Int64Counter
-	gap         metric.Float64Histogram
-	callTime    metric.Float64Histogram
+	provider         *sdk.MeterProvider
+	handler          http.Handler
+	requests         metric.Int64Counter
+	firstToken       metric.Float64Histogram
+	perToken         metric.Float64Histogram
+	attempts         metric.Int64Counter
+	sends            metric.Int64Counter
+	retriesDenied    metric.Int64Counter
+	brokenExchanges  metric.Int64Counter
+	endpointsEnded   metric.Int64Counter
+	poisonRefused    metric.Int64Counter
+	quotaDecisions   metric.Int64Counter
+	stageOrders      metric.Int64Counter
+	coldGranted      metric.Int64Counter
+	coldRefused      metric.Int64Counter
+	limitGranted     metric.Int64Counter
+	limitRefused     metric.Int64Counter
+	accounts         labels
+	platformCalls    metric.Int64Counter
+	eventGap         metric.Float64Histogram
+	platformDuration metric.Float64Histogram
 }
 
-// Ended is what is counted of a request.
+// Ended describes a request that ended, for counting.
 type Ended struct {
 	Service string
-	// Outcome is finished, cancelled, not_run, unknown or failed; Reason says
-	// why, from a fixed set.
+	// Outcome is finished, cancelled, not_run, unknown or failed; Reason is the cause, from
+	// a fixed set.
 	Outcome, Reason string
 	Attempts        int
-	// FirstToken and PerToken are 0 when there was no token, or only one.
+	// FirstToken is 0 without any token, and PerToken with fewer than two.
 	FirstToken, PerToken time.Duration
 }
 
-// Bounds of the histograms, in seconds, dense around the targets.
+// Bucket bounds of the histograms, in seconds, dense around the targets.
 var (
 	firstTokenBounds = []float64{0.05, 0.1, 0.2, 0.3, 0.4, 0.49, 0.6, 0.8, 1, 2, 5, 10}
 	perTokenBounds   = []float64{0.005, 0.01, 0.015, 0.02, 0.025, 0.031, 0.04, 0.06, 0.1, 0.5}
 )
 
-// New makes the instruments of a box.
+// New creates the instruments of a box.
 func New(cfg Config) (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	reader, err := exporter.New(exporter.WithRegisterer(registry))
@@ -117,29 +118,28 @@
 	return m, m.observe(meter, cfg)
 }
 
-// Bounds of the histograms of pauses in streams and of calls to the platform,
-// in seconds.
+// Bucket bounds of the histograms of pauses in streams and of platform calls, in seconds.
 var (
 	gapBounds  = []float64{0.025, 0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.5, 1, 2, 5}
 	callBounds = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10}
 )
 
-// relayInstruments makes those of routed services and of the platform.
+// relayInstruments creates the instruments for routed services and for the platform.
 func (m *Metrics) relayInstruments(meter metric.Meter) error {
 	var err error
-	if m.sends, err = meter.Int64Counter("runridge.sends", metric.WithUnit("{send}"), metric.WithDescription("Arrivals at endpoints of routed services, by purpose.")); err != nil {
+	if m.sends, err = meter.Int64Counter("runridge.sends", metric.WithUnit("{send}"), metric.WithDescription("Requests sent to endpoints of routed services, by purpose.")); err != nil {
 		return err
 	}
-	if m.denied, err = meter.Int64Counter("runridge.retries.denied", metric.WithUnit("{retry}"), metric.WithDescription("Retries that the budget did not allow.")); err != nil {
+	if m.retriesDenied, err = meter.Int64Counter("runridge.retries.denied", metric.WithUnit("{retry}"), metric.WithDescription("Retries that the budget did not allow.")); err != nil {
 		return err
 	}
-	if m.broken, err = meter.Int64Counter("runridge.exchanges.broken", metric.WithUnit("{exchange}"), metric.WithDescription("Exchanges with endpoints that broke off, by service and how.")); err != nil {
+	if m.brokenExchanges, err = meter.Int64Counter("runridge.exchanges.broken", metric.WithUnit("{exchange}"), metric.WithDescription("Exchanges with endpoints that were interrupted, by service and kind of interruption.")); err != nil {
 		return err
 	}
-	if m.quotas, err = meter.Int64Counter("runridge.quota.decisions", metric.WithUnit("{request}"), metric.WithDescription("Decisions on accounts' quotas, by account and outcome.")); err != nil {
+	if m.quotaDecisions, err = meter.Int64Counter("runridge.quota.decisions", metric.WithUnit("{request}"), metric.WithDescription("Decisions on accounts' quotas, by account and outcome.")); err != nil {
 		return err
 	}
-	if m.orders, err = meter.Int64Counter("runridge.stage.orders", metric.WithUnit("{order}"), metric.WithDescription("Orders to engines to change their stage, by stage and outcome.")); err != nil {
+	if m.stageOrders, err = meter.Int64Counter("runridge.stage.orders", metric.WithUnit("{order}"), metric.WithDescription("Orders to engines to change their stage, by stage and outcome.")); err != nil {
 		return err
 	}
 	if err := m.poisonInstruments(meter); err != nil {
@@ -151,18 +151,18 @@
 	if err := m.coldInstruments(meter); err != nil {
 		return err
 	}
-	if m.calls, err = meter.Int64Counter("runridge.platform.calls", metric.WithUnit("{call}"), metric.WithDescription("Calls to the platform, by call and result.")); err != nil {
+	if m.platformCalls, err = meter.Int64Counter("runridge.platform.calls", metric.WithUnit("{call}"), metric.WithDescription("Calls to the platform, by call and result.")); err != nil {
 		return err
 	}
-	if m.gap, err = meter.Float64Histogram("runridge.event.gap", metric.WithUnit("s"), metric.WithExplicitBucketBoundaries(gapBounds...)); err != nil {
+	if m.eventGap, err = meter.Float64Histogram("runridge.event.gap", metric.WithUnit("s"), metric.WithExplicitBucketBoundaries(gapBounds...)); err != nil {
 		return err
 	}
-	m.callTime, err = meter.Float64Histogram("runridge.platform.duration", metric.WithUnit("s"), metric.WithExplicitBucketBoundaries(callBounds...))
+	m.platformDuration, err = meter.Float64Histogram("runridge.platform.duration", metric.WithUnit("s"), metric.WithExplicitBucketBoundaries(callBounds...))
 	return err
 }
 
-// Sent counts a request's arrivals at endpoints: those for an answer and those
-// for a prefill alone.
+// Sent counts a request's exchanges with endpoints: those for an answer and those for a
+// prefill only.
 func (m *Metrics) Sent(service string, answers, prefills int) {
 	ctx := context.Background()
 	name := attribute.String("service", service)
@@ -172,40 +172,41 @@
 
 // Gap records the longest pause in a stream.
 func (m *Metrics) Gap(service string, longest time.Duration) {
-	m.gap.Record(context.Background(), longest.Seconds(), metric.WithAttributes(attribute.String("service", service)))
+	m.eventGap.Record(context.Background(), longest.Seconds(), metric.WithAttributes(attribute.String("service", service)))
 }
 
 // BudgetDenied counts a retry that the budget did not allow.
 func (m *Metrics) BudgetDenied(service string) {
-	m.denied.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
+	m.retriesDenied.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
 
-// BrokeOff counts an exchange with an endpoint that broke off.
+// BrokeOff counts an exchange with an endpoint that was interrupted; how is the kind of
+// interruption.
 func (m *Metrics) BrokeOff(service, how string) {
-	m.broken.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("how", how)))
+	m.brokenExchanges.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("how", how)))
 }
 
 // QuotaDecided counts a decision on an account's quota. Accounts beyond the first
 // maxLabels are counted together.
 func (m *Metrics) QuotaDecided(account, outcome string) {
-	m.quotas.Add(context.Background(), 1, metric.WithAttributes(
-		attribute.String("account", m.accounts.of(account)), attribute.String("outcome", outcome)))
+	m.quotaDecisions.Add(context.Background(), 1, metric.WithAttributes(
+		attribute.String("account", m.accounts.limit(account)), attribute.String("outcome", outcome)))
 }
 
 // StageOrdered counts an order to an engine to change its stage.
 func (m *Metrics) StageOrdered(stage, outcome string) {
-	m.orders.Add(context.Background(), 1, metric.WithAttributes(attribute.String("stage", stage), attribute.String("outcome", outcome)))
+	m.stageOrders.Add(context.Background(), 1, metric.WithAttributes(attribute.String("stage", stage), attribute.String("outcome", outcome)))
 }
 
 // PlatformCalled counts a call to the platform.
 func (m *Metrics) PlatformCalled(call, result string, took time.Duration) {
 	ctx := context.Background()
 	name := attribute.String("call", call)
-	m.calls.Add(ctx, 1, metric.WithAttributes(name, attribute.String("result", result)))
-	m.callTime.Record(ctx, took.Seconds(), metric.WithAttributes(name))
+	m.platformCalls.Add(ctx, 1, metric.WithAttributes(name, attribute.String("result", result)))
+	m.platformDuration.Record(ctx, took.Seconds(), metric.WithAttributes(name))
 }
 
-// observe registers what is read when somebody asks.
+// observe registers the instruments that are read at each scrape.
 func (m *Metrics) observe(meter metric.Meter, cfg Config) error {
 	active, err := meter.Int64ObservableGauge("runridge.requests.active", metric.WithUnit("{request}"))
 	if err != nil {
@@ -239,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	held, err := meter.Int64ObservableGauge("runridge.held", metric.WithUnit("By"), metric.WithDescription("Bytes held in memory for callers, by what for."))
+	held, err := meter.Int64ObservableGauge("runridge.held", metric.WithUnit("By"), metric.WithDescription("Bytes held in memory for callers, by purpose."))
 	if err != nil {
 		return err
 	}
@@ -275,7 +276,8 @@
 	return err
 }
 
-// RequestEnded counts a request. Accounts are left out: there are many.
+// RequestEnded counts a request that ended. It has no account label: there are too many
+// accounts.
 func (m *Metrics) RequestEnded(e Ended) {
 	ctx := context.Background()
 	service := attribute.String("service", e.Service)
@@ -294,7 +296,7 @@
 	return m.handler
 }
 
-// Close ends the instruments.
+// Close shuts the instruments down.
 func (m *Metrics) Close(ctx context.Context) error {
 	return m.provider.Shutdown(ctx)
 }
--- a/modules/metric/poison.go
+++ b/modules/metric/poison.go
@@ -10,22 +10,23 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// poisonInstruments makes those of endpoints that end and of what ends them.
+// poisonInstruments creates the instruments for endpoints that terminate and for the poison
+// requests that cause it.
 func (m *Metrics) poisonInstruments(meter metric.Meter) error {
 	var err error
-	if m.ended, err = meter.Int64Counter("runridge.endpoints.ended", metric.WithUnit("{endpoint}"), metric.WithDescription("Endpoints that ended in the middle of requests of this box, by service.")); err != nil {
+	if m.endpointsEnded, err = meter.Int64Counter("runridge.endpoints.ended", metric.WithUnit("{endpoint}"), metric.WithDescription("Endpoints that terminated while they ran requests of this box, by service.")); err != nil {
 		return err
 	}
-	m.poison, err = meter.Int64Counter("runridge.poison.refused", metric.WithUnit("{request}"), metric.WithDescription("Requests kept from the endpoints since they end those that run them, by service."))
+	m.poisonRefused, err = meter.Int64Counter("runridge.poison.refused", metric.WithUnit("{request}"), metric.WithDescription("Requests kept from the endpoints because they terminate those that run them, by service."))
 	return err
 }
 
-// EndpointEnded counts an endpoint that ended in the middle of requests.
+// EndpointEnded counts an endpoint that terminated while it ran requests of this box.
 func (m *Metrics) EndpointEnded(service string) {
-	m.ended.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
+	m.endpointsEnded.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
 
-// PoisonRefused counts a request that was kept from the endpoints.
+// PoisonRefused counts a poison request that was not sent to any endpoint.
 func (m *Metrics) PoisonRefused(service string) {
-	m.poison.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
+	m.poisonRefused.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
--- a/modules/setting/advertise_test.go
+++ b/modules/setting/advertise_test.go
@@ -18,13 +18,13 @@
 		value string
 		good  bool
 	}{
-		"none":                  {"", true},
-		"an address":            {"10.0.0.5:7000", true},
-		"an IPv6 address":       {"[fd00::5]:7000", true},
-		"no number":             {"box-1:7000", false},
-		"port 0":                {"10.0.0.5:0", false},
-		"every address of IPv4": {"0.0.0.0:7000", false},
-		"every address of IPv6": {"[::]:7000", false},
+		"none":                         {"", true},
+		"an address":                   {"10.0.0.5:7000", true},
+		"an IPv6 address":              {"[fd00::5]:7000", true},
+		"a host name":                  {"box-1:7000", false},
+		"port 0":                       {"10.0.0.5:0", false},
+		"the unspecified IPv4 address": {"0.0.0.0:7000", false},
+		"the unspecified IPv6 address": {"[::]:7000", false},
 	}
 	for name, c := range cases {
 		convey.Convey("The address that other boxes reach is "+name, t, func() {
--- a/modules/setting/example_test.go
+++ b/modules/setting/example_test.go
@@ -15,7 +15,7 @@
 	"runridge.example/runridge/modules/setting"
 )
 
-// keysOf lists the JSON keys of a settings type, those of parts with their path.
+// keysOf lists the JSON keys of a settings type; nested keys have their path.
 func keysOf(t reflect.Type, prefix string) []string {
 	var out []string
 	for i := range t.NumField() {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// has says whether a value read from JSON has a key.
+// has reports whether a value decoded from JSON has the key at a path.
 func has(v any, path string) bool {
 	key, rest, more := strings.Cut(path, ".")
 	object, ok := v.(map[string]any)
@@ -42,7 +42,7 @@
 }
 
 func TestExampleHasEveryKey(t *testing.T) {
-	convey.Convey("The example is good settings, and it and the page name every key", t, func() {
+	convey.Convey("The example is valid, and both it and the settings page have every key", t, func() {
 		example, err := os.ReadFile("../../settings.example.json")
 		convey.So(err, convey.ShouldBeNil)
 		_, err = setting.Parse(example)
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package setting reads a box's settings from JSON and checks them. Every key
-// is explained in docs/SETTINGS.md and in settings.example.json.
+// Package setting reads a box's settings from JSON and validates them. docs/SETTINGS.md and
+// settings.example.json explain every key.
 package setting
 
 import (
@@ -18,99 +18,98 @@
 	"runridge.example/runridge/modules/invalid"
 )
 
-// Box is the settings of one entry box.
+// Box holds the settings of one entry box.
 type Box struct {
-	// Name is the box's own name, alike in the platform's list of boxes.
+	// Name is the box's own name, the same as in the platform's list of boxes.
 	Name string `json:"name"`
-	// Zone is the availability zone that the box stands in.
+	// Zone is the availability zone of the box.
 	Zone string `json:"zone"`
-	// Regions names the region of each availability zone; zones that it does not
-	// name are together in one.
+	// Regions maps availability zones to regions; all zones that it does not name form one
+	// region.
 	Regions map[string]string `json:"regions,omitempty"`
-	// CallerListen, BoxListen and OperatorListen are IP numbers and ports.
+	// CallerListen, BoxListen and OperatorListen are the IP addresses and ports on which
+	// the box listens.
 	CallerListen   string `json:"caller_listen"`
 	BoxListen      string `json:"box_listen"`
 	OperatorListen string `json:"operator_listen"`
-	// BoxAdvertise is the address at which other boxes reach this one, where that
-	// is not BoxListen: behind a port mapping, say.
+	// BoxAdvertise is the address at which other boxes reach this one if that is not
+	// BoxListen, for example behind a port mapping.
 	BoxAdvertise string `json:"box_advertise,omitempty"`
-	// Platform is the object API's IP number and port.
+	// Platform is the IP address and port of the platform's object API.
 	Platform string `json:"platform"`
-	// BoxKeyFile names a file with the key that all boxes share.
+	// BoxKeyFile is the path of a file with the key that all boxes share.
 	BoxKeyFile string `json:"box_key_file,omitempty"`
 	LogLevel   string `json:"log_level,omitempty"`
 	Limits     Limits `json:"limits"`
-	// StopSeconds is the time that a planned stop is given, from the signal on.
-	// The box ends a little sooner.
+	// StopSeconds is the time for a planned stop, from the signal on. The box stops a
+	// little sooner.
 	StopSeconds float64 `json:"stop_seconds,omitempty"`
-	// RepeatWindowSeconds is how long a request with an idempotency key is
-	// recognized when it comes again.
+	// RepeatWindowSeconds is how long a request with an idempotency key is recognized when
+	// it is repeated.
 	RepeatWindowSeconds int `json:"repeat_window_seconds,omitempty"`
-	// LingerMS is how long a stopping box still takes requests, in
-	// milliseconds: as long as the platform's balancer lags.
+	// LingerMS is how long a stopping box still accepts requests, in milliseconds: as long
+	// as the platform's balancer lags behind.
 	LingerMS int `json:"linger_ms,omitempty"`
 	// MemoryLimitMB is the memory that the box may use, in megabytes.
 	MemoryLimitMB int `json:"memory_limit_mb,omitempty"`
-	// PlatformProtocol is what the platform speaks: PlatformTable or
-	// PlatformObjects.
+	// PlatformProtocol is the protocol of the platform: PlatformTable or PlatformObjects.
 	PlatformProtocol string `json:"platform_protocol,omitempty"`
-	// PlatformReadsPerSecond is how many reading calls a second the platform
-	// takes from all boxes together.
+	// PlatformReadsPerSecond is how many read calls a second the platform accepts from all
+	// boxes together.
 	PlatformReadsPerSecond float64 `json:"platform_reads_per_second,omitempty"`
-	// Relay is for routed services; without a listener there are none.
+	// Relay configures routed services; without a listener there are none.
 	Relay Relay `json:"relay,omitzero"`
 }
 
-// What a platform may speak.
+// Protocols of the platform.
 const (
-	// PlatformTable keeps runridge's own table as one object; the default.
+	// PlatformTable stores runridge's own table as one object; the default.
 	PlatformTable = "table"
-	// PlatformObjects keeps configuration, endpoints and boxes as objects by
-	// kind.
+	// PlatformObjects stores configuration, endpoints and boxes as objects by kind.
 	PlatformObjects = "objects"
 )
 
-// What may become of the stages of engines.
+// Modes for the stages of engines.
 const (
-	// StagesFixed leaves them as they are; the default.
+	// StagesFixed leaves the stages as they are; the default.
 	StagesFixed = "fixed"
-	// StagesPlanned plans them by the prompt work that is asked for.
+	// StagesPlanned plans the stages by the demand for prompt work.
 	StagesPlanned = "planned"
 )
 
-// Relay is the settings for routed services.
+// Relay holds the settings for routed services.
 type Relay struct {
-	// Listen is where callers of routed services connect, and ReadyListen
-	// where the platform's balancer asks whether the box takes requests.
+	// Listen is where callers of routed services connect, and ReadyListen where the
+	// platform's balancer checks whether the box accepts requests.
 	Listen      string `json:"listen,omitempty"`
 	ReadyListen string `json:"ready_listen,omitempty"`
-	// RetryRatio, RetrySlack and RetryWindowSeconds bound the further arrivals
-	// that retries of all boxes bring to a service in any such window.
+	// RetryRatio, RetrySlack and RetryWindowSeconds bound the extra requests that retries
+	// of all boxes send to a service in any window of that length.
 	RetryRatio         float64 `json:"retry_ratio,omitempty"`
 	RetrySlack         float64 `json:"retry_slack,omitempty"`
 	RetryWindowSeconds float64 `json:"retry_window_seconds,omitempty"`
-	// QuotaOverage, a part of an account's quota, and QuotaSlack, in its unit,
-	// say by how much the uses of all boxes may exceed it in any such window.
+	// QuotaOverage, a fraction of an account's quota, and QuotaSlack, in the quota's unit,
+	// bound by how much the use on all boxes may exceed the quota in any window of
+	// QuotaWindowSeconds.
 	QuotaOverage       float64 `json:"quota_overage,omitempty"`
 	QuotaSlack         float64 `json:"quota_slack,omitempty"`
 	QuotaWindowSeconds float64 `json:"quota_window_seconds,omitempty"`
-	// Stages says whether engines are ordered to change between prefill and
-	// decode: StagesPlanned or StagesFixed; PrefillPart, above 0, pins the part
-	// of them that prefills.
+	// Stages is StagesPlanned if engines are ordered to change between prefill and decode,
+	// else StagesFixed. PrefillPart, if above 0, pins the fraction of engines that prefill.
 	Stages      string  `json:"stages,omitempty"`
 	PrefillPart float64 `json:"prefill_part,omitempty"`
-	// LeaseMS is for how long a lease gives the right to orders, and ThawMS for
-	// how long the orders of a box that stood still may yet arrive.
+	// LeaseMS is how long a lease gives the right to order changes of stages, and ThawMS
+	// how long orders of a box whose process was paused may still arrive.
 	LeaseMS float64 `json:"lease_ms,omitempty"`
 	ThawMS  float64 `json:"thaw_ms,omitempty"`
-	// ColdOverage, a factor, and ColdSlack, in requests, say how many requests a
-	// cold endpoint may get from all boxes together in any second: its own pace
-	// times the factor, and the slack. 0 for both leaves cold endpoints unbounded.
+	// ColdOverage, a factor, and ColdSlack, in requests, bound how many requests a cold
+	// endpoint may get from all boxes together in any second: its own pace times the
+	// factor, plus the slack. 0 for both leaves cold endpoints unbounded.
 	ColdOverage float64 `json:"cold_overage,omitempty"`
 	ColdSlack   float64 `json:"cold_slack,omitempty"`
 }
 
-// Limits bound what a box takes in. 0 means the default.
+// Limits bounds what a box accepts. 0 means the default.
 type Limits struct {
 	MaxBodyBytes   int     `json:"max_body_bytes,omitempty"`
 	MaxHeaderBytes int     `json:"max_header_bytes,omitempty"`
@@ -120,31 +119,31 @@
 	StepTimeoutMS  int     `json:"step_timeout_ms,omitempty"`
 }
 
-// NeedsRestart says whether the change from old settings to these takes effect
-// only when the box starts again: it has another name, place or address.
+// NeedsRestart reports whether the change from the old settings to these needs a restart to
+// take full effect: a name, zone, region, address or protocol differs.
 func (b Box) NeedsRestart(old Box) bool {
-	return b.fixed() != old.fixed()
+	return b.restartSettings() != old.restartSettings()
 }
 
-// fixed is the part of the settings that a running box keeps.
-func (b Box) fixed() [11]string {
+// restartSettings returns the settings that a running box can't change.
+func (b Box) restartSettings() [11]string {
 	return [...]string{
 		b.Name, b.Zone, fmt.Sprint(b.Regions), b.CallerListen, b.BoxListen, b.BoxAdvertise, b.OperatorListen, b.Platform,
 		b.PlatformProtocol, b.Relay.Listen, b.Relay.ReadyListen,
 	}
 }
 
-// maxFile bounds a settings file, in bytes.
-const maxFile = 1 << 20
+// maxFileBytes is the maximum size of a settings file.
+const maxFileBytes = 1 << 20
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (Box, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return Box{}, fmt.Errorf("settings file: %w", err)
 	}
-	if info.Size() > maxFile {
-		return Box{}, fmt.Errorf("settings file %s has %d bytes, allowed: at most %d", path, info.Size(), maxFile)
+	if info.Size() > maxFileBytes {
+		return Box{}, fmt.Errorf("settings file %s has %d bytes, allowed: at most %d", path, info.Size(), maxFileBytes)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -153,8 +152,8 @@
 	return Parse(data)
 }
 
-// Parse reads and checks settings. A key that is not known is an error, so
-// that a misspelt one is not taken for its default.
+// Parse decodes and validates settings. An unknown key is an error, so that a misspelt key
+// does not silently get its default.
 func Parse(data []byte) (Box, error) {
 	var b Box
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -168,25 +167,25 @@
 	return b, nil
 }
 
-// namePattern is what a box or zone may be called: its name is part of ids.
+// namePattern restricts the names of boxes and zones, since a box's name is part of ids.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
 const (
-	maxBody        = 64 << 20
-	maxHeader      = 1 << 20
-	maxConcurrent  = 100_000
-	maxAttempts    = 10
-	maxStepTimeout = 600_000
-	maxLinger      = 60_000
-	maxWindow      = 600
-	maxTokenBytes  = 64
-	maxMemory      = 1 << 20
-	maxAmount      = 1_000_000
+	maxBodyBytes     = 64 << 20
+	maxHeaderBytes   = 1 << 20
+	maxConcurrent    = 100_000
+	maxAttempts      = 10
+	maxStepTimeoutMS = 600_000
+	maxLingerMS      = 60_000
+	maxWindowSeconds = 600
+	maxBytesPerToken = 64
+	maxMemoryMB      = 1 << 20
+	maxAmount        = 1_000_000
 )
 
 const advertiseKey = "box_advertise"
 
-// Check returns all that is wrong with the settings.
+// Check returns all problems of the settings.
 func (b Box) Check() invalid.FieldErrors {
 	var out invalid.FieldErrors
 	add := func(key string, value any, allowed string) {
@@ -260,14 +259,14 @@
 		key        string
 		value, max int
 	}{
-		{"limits.max_body_bytes", b.Limits.MaxBodyBytes, maxBody},
-		{"limits.max_header_bytes", b.Limits.MaxHeaderBytes, maxHeader},
+		{"limits.max_body_bytes", b.Limits.MaxBodyBytes, maxBodyBytes},
+		{"limits.max_header_bytes", b.Limits.MaxHeaderBytes, maxHeaderBytes},
 		{"limits.max_concurrent", b.Limits.MaxConcurrent, maxConcurrent},
 		{"limits.max_attempts", b.Limits.MaxAttempts, maxAttempts},
-		{"limits.step_timeout_ms", b.Limits.StepTimeoutMS, maxStepTimeout},
-		{"linger_ms", b.LingerMS, maxLinger},
-		{"repeat_window_seconds", b.RepeatWindowSeconds, maxWindow},
-		{"memory_limit_mb", b.MemoryLimitMB, maxMemory},
+		{"limits.step_timeout_ms", b.Limits.StepTimeoutMS, maxStepTimeoutMS},
+		{"linger_ms", b.LingerMS, maxLingerMS},
+		{"repeat_window_seconds", b.RepeatWindowSeconds, maxWindowSeconds},
+		{"memory_limit_mb", b.MemoryLimitMB, maxMemoryMB},
 	}
 	for _, r := range ranges {
 		if r.value < 0 || r.value > r.max {
@@ -296,7 +295,7 @@
 			add(a.key, a.value, fmt.Sprintf("0 to %d", maxAmount))
 		}
 	}
-	if v := b.Limits.BytesPerToken; v < 0 || v > maxTokenBytes {
-		add("limits.bytes_per_token", v, fmt.Sprintf("0 (the default) to %d", maxTokenBytes))
+	if v := b.Limits.BytesPerToken; v < 0 || v > maxBytesPerToken {
+		add("limits.bytes_per_token", v, fmt.Sprintf("0 (the default) to %d", maxBytesPerToken))
 	}
 }
--- a/modules/sleep/sleep.go
+++ b/modules/sleep/sleep.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package sleep waits for a while, or less if there is no reason to any more.
+// Package sleep waits for a duration or until a context ends.
 package sleep
 
 import (
--- a/modules/socket/socket.go
+++ b/modules/socket/socket.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package socket makes TCP dialers that find out about silent peers.
+// Package socket creates TCP dialers that detect unresponsive peers.
 package socket
 
 import (
@@ -13,19 +13,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Patience is how long a peer may be silent before its connection is ended.
+// Patience sets after which times an unresponsive peer's connection is closed.
 type Patience struct {
-	// Dial bounds the opening of a connection.
+	// Dial bounds the time to open a connection.
 	Dial time.Duration
-	// Sent bounds how long sent bytes may go without an acknowledgement.
+	// Sent bounds how long sent bytes may remain unacknowledged.
 	Sent time.Duration
-	// Probe is when an idle connection is probed, and how often; Probes is how
-	// many probes may go unanswered.
+	// Probe is the idle time before the first keep-alive probe and the interval between
+	// probes; Probes is how many may stay unanswered.
 	Probe  time.Duration
 	Probes int
 }
 
-// Dialer makes a dialer whose connections keep to the patience.
+// Dialer returns a dialer whose connections have these timeouts.
 func (p Patience) Dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         p.Dial,
--- a/modules/timeline/callers.go
+++ b/modules/timeline/callers.go
@@ -11,50 +11,55 @@
 	"runridge.example/runridge/modules/log"
 )
 
-// Callers is what the callers of one service got, counted from their first try.
+// Callers summarizes what the callers of one service experienced, with times counted from
+// their first try.
 type Callers struct {
 	Service string
-	// Target is the time in which an answer, or its first event, is in time.
+	// Target is the time within which an answer, or its first event, is in time.
 	Target time.Duration
-	// Asked are all requests that ended, returns included.
+	// Asked counts all requests that ended, including repeated ones.
 	Asked int
-	// InTime and Late were served; LateBy is the median time over the target.
+	// InTime and Late count the served requests; LateBy is the median time over the target.
 	InTime, Late int
 	LateBy       time.Duration
-	// RefusedAtOnce were refused within atOnce, RefusedWaiting after a wait, all
-	// together WaitedInVain and the longest hundredth at least WaitedP99.
+	// RefusedAtOnce counts refusals within immediateLimit, and RefusedWaiting those after a
+	// longer wait. WaitedInVain is the sum of these longer waits, and WaitedP99 their 99th
+	// percentile.
 	RefusedAtOnce, RefusedWaiting int
 	WaitedInVain, WaitedP99       time.Duration
-	// ReturnedServed and ReturnedRefused are those among them that came back.
+	// ReturnedServed and ReturnedRefused count the served and refused requests that were
+	// repeats of earlier ones.
 	ReturnedServed, ReturnedRefused int
-	// Gone are callers who left, GoneRunning those for whom an endpoint had begun.
+	// Gone counts callers that disconnected, and GoneRunning those for which an endpoint
+	// had already started.
 	Gone, GoneRunning int
-	// Failed are all others.
+	// Failed counts all other requests.
 	Failed int
-	// Worth is the mean of what the callers got, 1 for each answer in time. Time
-	// that was waited in vain costs as it goes on, up to a whole answer for each
-	// target waited.
+	// Worth is the mean value of the outcomes, 1 for each answer in time. Waiting for a
+	// request that is refused in the end costs in proportion to the wait, up to one whole
+	// answer for a wait of one target or more.
 	Worth float64
 }
 
 const (
-	// atOnce is how long a refusal may take that is not held: three questions to
-	// homes in other zones, with some room.
-	atOnce = 50 * time.Millisecond
-	// lateValue is what a late answer is worth against one in time: 7.5 of 37,
-	// the users' figures for language models.
+	// immediateLimit is the maximum duration of a refusal that was not queued: three round
+	// trips to homes in other zones, with a margin.
+	immediateLimit = 50 * time.Millisecond
+	// lateValue is the value of a late answer relative to one in time: 7.5 of 37, the
+	// users' figures for language models.
 	lateValue = 0.2
-	// againCost is what a return costs that is refused again, by their figures.
-	againCost = 0.3
+	// repeatRefusalCost is the cost of a repeated request that is refused again, also by
+	// the users' figures.
+	repeatRefusalCost = 0.3
 )
 
-// AccountOf sums up what the callers of each service got, in the order of the
-// services' names. Requests that reached no service are left out.
+// AccountOf summarizes what the callers of each service experienced, sorted by service
+// name. Requests that reached no service are left out.
 func AccountOf(lines []Line) []Callers {
 	sums := make(map[string]*callersSum)
 	for _, l := range lines {
 		service := l.Field("service")
-		if l.Field(fieldEvent) != endEvent || service == "" {
+		if l.Field(fieldEvent) != requestEndedEvent || service == "" {
 			continue
 		}
 		if sums[service] == nil {
@@ -70,7 +75,7 @@
 	return out
 }
 
-// callersSum is an account that is not complete yet.
+// callersSum accumulates the figures of one service.
 type callersSum struct {
 	Callers
 	lateBy, waited []time.Duration
@@ -78,15 +83,15 @@
 
 func (s *callersSum) add(l Line) {
 	s.Asked++
-	returned := number(l, "age_ms") > 0
+	returned := intField(l, "age_ms") > 0
 	switch l.Field("outcome") {
-	case answered:
+	case outcomeAnswered:
 		s.answered(l, returned)
 	case "refused":
-		s.refused(milliseconds(l, "ms"), returned)
+		s.refused(durationField(l, "ms"), returned)
 	case "caller_gone":
 		s.Gone++
-		if number(l, "runs") > 0 {
+		if intField(l, "runs") > 0 {
 			s.GoneRunning++
 		}
 	default:
@@ -95,17 +100,17 @@
 }
 
 func (s *callersSum) answered(l Line, returned bool) {
-	if number(l, log.FieldReason) >= leastFailed {
+	if intField(l, log.FieldReason) >= minServerError {
 		s.Failed++
 		return
 	}
 	if returned {
 		s.ReturnedServed++
 	}
-	target := milliseconds(l, "target_ms")
+	target := durationField(l, "target_ms")
 	s.Target = max(s.Target, target)
-	first := milliseconds(l, "age_ms") + milliseconds(l, "first_ms")
-	if target > 0 && first > target || over(l, "gap_ms", "gap_target_ms") {
+	first := durationField(l, "age_ms") + durationField(l, "first_ms")
+	if target > 0 && first > target || exceeds(l, "gap_ms", "gap_target_ms") {
 		s.Late++
 		s.lateBy = append(s.lateBy, max(first-target, 0))
 		return
@@ -117,7 +122,7 @@
 	if returned {
 		s.ReturnedRefused++
 	}
-	if after <= atOnce {
+	if after <= immediateLimit {
 		s.RefusedAtOnce++
 		return
 	}
@@ -135,15 +140,15 @@
 }
 
 func (s *callersSum) worth() float64 {
-	sum := float64(s.InTime) + lateValue*float64(s.Late) - againCost*float64(s.ReturnedRefused)
+	sum := float64(s.InTime) + lateValue*float64(s.Late) - repeatRefusalCost*float64(s.ReturnedRefused)
 	for _, waited := range s.waited {
 		sum -= min(float64(waited)/float64(max(s.Target, 1)), 1)
 	}
 	return sum / float64(s.Asked)
 }
 
-// quantile is the smallest duration that so large a part of them does not
-// exceed; 0 of none.
+// quantile returns the value at a fraction of the sorted durations, or 0 if there are none.
+// It sorts the slice in place.
 func quantile(durations []time.Duration, part float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
@@ -152,7 +157,7 @@
 	return durations[min(int(part*float64(len(durations))), len(durations)-1)]
 }
 
-// milliseconds reads a field that is a time in milliseconds.
-func milliseconds(l Line, field string) time.Duration {
-	return time.Duration(number(l, field)) * time.Millisecond
+// durationField reads a field in milliseconds; a missing or malformed one counts as 0.
+func durationField(l Line, field string) time.Duration {
+	return time.Duration(intField(l, field)) * time.Millisecond
 }
--- a/modules/timeline/callers_test.go
+++ b/modules/timeline/callers_test.go
@@ -21,30 +21,30 @@
 			lines: []string{"outcome=answered reason=200 first_ms=80 target_ms=1000"},
 			want:  Callers{Asked: 1, InTime: 1, Worth: 1},
 		},
-		"late from the first try on": {
+		"late, counted from the first try": {
 			lines: []string{"outcome=answered reason=200 first_ms=80 target_ms=1000 age_ms=4000"},
 			want:  Callers{Asked: 1, Late: 1, LateBy: 3080 * time.Millisecond, ReturnedServed: 1, Worth: 0.2},
 		},
-		"back in time": {
+		"a repeated request in time": {
 			lines: []string{"outcome=answered reason=200 first_ms=80 target_ms=1000 age_ms=400"},
 			want:  Callers{Asked: 1, InTime: 1, ReturnedServed: 1, Worth: 1},
 		},
-		"refused at once, and served beside it": {
+		"one refused at once, another served": {
 			lines: []string{"outcome=refused reason=full ms=12", "outcome=answered reason=200 first_ms=80 target_ms=1000"},
 			want:  Callers{Asked: 2, InTime: 1, RefusedAtOnce: 1, Worth: 0.5},
 		},
-		"held for half a target and refused": {
+		"refused after waiting half a target": {
 			lines: []string{"outcome=refused reason=full ms=500", "outcome=answered reason=200 first_ms=80 target_ms=1000"},
 			want: Callers{
 				Asked: 2, InTime: 1, RefusedWaiting: 1, Worth: 0.25,
 				WaitedInVain: 500 * time.Millisecond, WaitedP99: 500 * time.Millisecond,
 			},
 		},
-		"refused again": {
+		"a repeated request refused": {
 			lines: []string{"outcome=refused reason=full ms=12 age_ms=4000", "outcome=answered reason=200 first_ms=80 target_ms=1000"},
 			want:  Callers{Asked: 2, InTime: 1, RefusedAtOnce: 1, ReturnedRefused: 1, Worth: 0.35},
 		},
-		"gone and failed": {
+		"disconnected and failed": {
 			lines: []string{
 				"outcome=caller_gone reason=read runs=1", "outcome=caller_gone reason=read runs=0",
 				"outcome=broken reason=stream_cut", "outcome=answered reason=500 first_ms=80 target_ms=1000",
--- a/modules/timeline/outcomes.go
+++ b/modules/timeline/outcomes.go
@@ -11,16 +11,16 @@
 	"runridge.example/runridge/modules/log"
 )
 
-// Outcome counts the requests of one service that ended alike.
+// Outcome counts the requests of one service that ended in the same way.
 type Outcome struct {
 	Service string
-	// Cause is what kept the requests from being in time: one of the Cause
-	// constants, or the outcome and its reason.
+	// Cause is why the requests were not in time: one of the Cause constants, or the
+	// outcome and its reason.
 	Cause string
 	Count int
 }
 
-// Causes of answers; the others are named by outcome and reason.
+// Causes of answered requests; other requests have their outcome and reason as cause.
 const (
 	CauseInTime    = "in_time"
 	CauseLateFirst = "first_event_late"
@@ -29,19 +29,19 @@
 )
 
 const (
-	endEvent    = "request_ended"
-	answered    = "answered"
-	fieldEvent  = "msg"
-	leastFailed = 500
+	requestEndedEvent = "request_ended"
+	outcomeAnswered   = "answered"
+	fieldEvent        = "msg"
+	minServerError    = 500
 )
 
-// Outcomes counts how the requests in the lines ended, by service, the most
-// frequent cause first.
+// Outcomes counts how the requests in the lines ended. It sorts by service and then by
+// count, the most frequent cause first.
 func Outcomes(lines []Line) []Outcome {
 	type key struct{ service, cause string }
 	counts := make(map[key]int)
 	for _, l := range lines {
-		if l.Field(fieldEvent) == endEvent {
+		if l.Field(fieldEvent) == requestEndedEvent {
 			counts[key{service: l.Field("service"), cause: causeOf(l)}]++
 		}
 	}
@@ -55,31 +55,32 @@
 	return out
 }
 
-// causeOf names what kept a request from being in time.
+// causeOf returns why a request was not in time, or CauseInTime.
 func causeOf(l Line) string {
-	if l.Field("outcome") != answered {
+	if l.Field("outcome") != outcomeAnswered {
 		return l.Field("outcome") + ":" + l.Field(log.FieldReason)
 	}
 	switch {
-	case number(l, log.FieldReason) >= leastFailed:
+	case intField(l, log.FieldReason) >= minServerError:
 		return CauseFailed
-	case over(l, "first_ms", "target_ms"):
+	case exceeds(l, "first_ms", "target_ms"):
 		return CauseLateFirst
-	case over(l, "gap_ms", "gap_target_ms"):
+	case exceeds(l, "gap_ms", "gap_target_ms"):
 		return CauseLateGap
 	default:
 		return CauseInTime
 	}
 }
 
-// over says whether a time is over its target; a target of 0 is none.
-func over(l Line, field, target string) bool {
-	bound := number(l, target)
-	return bound > 0 && number(l, field) > bound
+// exceeds reports whether a time exceeds its target; a target of 0 means that there is
+// none.
+func exceeds(l Line, field, target string) bool {
+	bound := intField(l, target)
+	return bound > 0 && intField(l, field) > bound
 }
 
-// number reads a field; what is none counts as 0.
-func number(l Line, field string) int {
+// intField reads an integer field; a missing or malformed one counts as 0.
+func intField(l Line, field string) int {
 	n, _ := strconv.Atoi(l.Field(field))
 	return n
 }
--- a/modules/timeline/timeline.go
+++ b/modules/timeline/timeline.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package timeline puts the log lines of several boxes that concern one request
-// in the order of their times.
+// Package timeline collects the log lines of several boxes that concern one request and
+// sorts them by time.
 package timeline
 
 import (
@@ -23,12 +23,12 @@
 	fields map[string]string
 }
 
-// Field is a field of the line; empty if there is none.
+// Field returns a field of the line, or an empty string if it has none.
 func (l Line) Field(name string) string { return l.fields[name] }
 
-// beliefs are the events that change what a box takes for true. Those of the
-// time of a request are part of its story.
-var beliefs = []string{
+// stateEvents are the events that change what a box knows. Those close to a request are
+// included in its timeline. Event names of older builds stay in the list.
+var stateEvents = []string{
 	"table_in_force", "table_rejected", "directory_changed", "members_changed", "endpoint_list_failed",
 	"endpoint_list_regained", "endpoint_history_gone", "platform_watch_failed", "home_started", "home_ended",
 	"box_leaving", "own_pause_noticed", "settings_reloaded", "starting",
@@ -36,17 +36,18 @@
 	"endpoint_limit_told", "endpoint_limit_changed",
 }
 
-// around is how long before a request's first line a changed belief counts as
-// part of its story.
-const around = 2 * time.Second
+// leadTime is how long before a request's first line a state event still belongs to its
+// timeline.
+const leadTime = 2 * time.Second
 
-// pair is one key=value of a line; a quoted value may hold blanks.
-var pair = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)`)
+// pairPattern matches one key=value of a line; a quoted value may contain spaces.
+var pairPattern = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// parse reads one line; what stands before its first pair is kept in the text.
+// parse reads one line and reports whether it has a valid time. Text before its first pair
+// stays in Text only.
 func parse(text string) (Line, bool) {
 	l := Line{Text: text, fields: make(map[string]string)}
-	for _, m := range pair.FindAllStringSubmatch(text, -1) {
+	for _, m := range pairPattern.FindAllStringSubmatch(text, -1) {
 		l.fields[m[1]] = strings.Trim(m[2], `"`)
 	}
 	at, err := time.Parse(time.RFC3339Nano, l.fields["time"])
@@ -54,7 +55,7 @@
 	return l, err == nil
 }
 
-// Read reads the lines of a log; others are passed over.
+// Read reads the lines of a log and skips those that have no valid time.
 func Read(r io.Reader) ([]Line, error) {
 	var out []Line
 	scanner := bufio.NewScanner(r)
@@ -66,9 +67,9 @@
 	return out, scanner.Err()
 }
 
-// Of picks the lines of one request out of all boxes' lines, in the order of
-// their times: its own, those of the homes that were asked for it, and the
-// changed beliefs of the boxes concerned in its time.
+// Of returns the lines of one request out of all boxes' lines, sorted by time: its own
+// lines, those of the homes that were asked for it, and the state events of the boxes
+// involved around that time.
 func Of(request string, lines []Line) []Line {
 	asks := make(map[string]bool)
 	boxes := make(map[string]bool)
@@ -92,10 +93,10 @@
 		}
 	}
 	byTime(own)
-	first, last := own[0].Time.Add(-around), own[len(own)-1].Time
+	first, last := own[0].Time.Add(-leadTime), own[len(own)-1].Time
 	for _, l := range lines {
 		inTime := !l.Time.Before(first) && !l.Time.After(last)
-		if inTime && boxes[l.Field(log.FieldBox)] && slices.Contains(beliefs, l.Field("msg")) {
+		if inTime && boxes[l.Field(log.FieldBox)] && slices.Contains(stateEvents, l.Field("msg")) {
 			own = append(own, l)
 		}
 	}
--- a/modules/timeline/timeline_test.go
+++ b/modules/timeline/timeline_test.go
@@ -27,7 +27,7 @@
 `
 
 func TestOf(t *testing.T) {
-	convey.Convey("The story of one request, over two boxes and in order", t, func() {
+	convey.Convey("The timeline of one request includes two boxes and is sorted", t, func() {
 		one, err := Read(strings.NewReader(boxOne))
 		convey.So(err, convey.ShouldBeNil)
 		two, err := Read(strings.NewReader(boxTwo))
@@ -40,12 +40,12 @@
 			"one table_in_force", "one attempt_placed", "two home_refused", "two members_changed", "one request_ended",
 		})
 	})
-	convey.Convey("A request that no line names has no story", t, func() {
+	convey.Convey("A request that no line names has no timeline", t, func() {
 		lines, err := Read(strings.NewReader(boxOne))
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(Of("r9", lines), convey.ShouldBeEmpty)
 	})
-	convey.Convey("Quoted values keep their blanks", t, func() {
+	convey.Convey("Quoted values keep their spaces", t, func() {
 		l, ok := parse(`time="2026-01-01T00:00:02Z" msg=x error="a \"b\" c" request=r`)
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(l.Field("request"), convey.ShouldEqual, "r")
--- a/modules/version/version.go
+++ b/modules/version/version.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package version names the release; the Makefile sets it at link time.
+// Package version has the release name; the Makefile sets it at link time.
 package version
 
 // Version is the release name.
