--- a/cmd/runridge-bench/demo.go
+++ b/cmd/runridge-bench/demo.go
@@ -18,11 +18,11 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// demoCommand shows the main job in one process within about 20 s.
+// demoCommand demonstrates the router's main job in one process, in about 20 s.
 type demoCommand struct{}
 
 func addDemo(parser *flags.Parser) {
-	command.Add(parser, "demo", "Show the router at work", "Start the platform, nine engines and four boxes in this process, serve both users' requests with and without faults, and print what was measured.", &demoCommand{})
+	command.Add(parser, "demo", "Show the router at work", "Start the platform, nine engines and four boxes in this process, serve both users' requests with and without faults, and print the measurements.", &demoCommand{})
 }
 
 const (
@@ -49,19 +49,20 @@
 	if err := bench.PrintTable(os.Stdout, results); err != nil {
 		return err
 	}
-	return demoVerdict(results)
+	return checkDemo(results)
 }
 
-// demoVerdict fails the demonstration when a promise was broken in it.
-func demoVerdict(results []bench.Result) error {
+// checkDemo returns an error if a guarantee was violated during the demonstration, or if a
+// run finished no request.
+func checkDemo(results []bench.Result) error {
 	for _, r := range results {
 		if r.Wrong > 0 || r.Held > 0 || r.Outcomes[string(bench.OutcomeFinished)] == 0 {
 			return fmt.Errorf("%s: %d wrong answers, %d holds left, outcomes %v", r.Scenario, r.Wrong, r.Held, r.Outcomes)
 		}
 	}
 	if len(results) == 0 {
-		return errors.New("nothing was run")
+		return errors.New("no scenario was run")
 	}
-	fmt.Println("demo: every finished answer was whole and its caller's own; no engine memory is left held")
+	fmt.Println("demo: every finished answer was complete and went to its own caller; no engine memory is still held")
 	return nil
 }
--- a/cmd/runridge-bench/fleet.go
+++ b/cmd/runridge-bench/fleet.go
@@ -16,23 +16,23 @@
 	"runridge.example/runridge/modules/log"
 )
 
-// fleetCommand measures what being in a fleet costs a box.
+// fleetCommand measures what membership in a fleet costs a box.
 type fleetCommand struct {
-	Boxes     []int   `long:"boxes" default:"30" default:"100" description:"boxes; may be given more than once"`
+	Boxes     []int   `long:"boxes" default:"30" default:"100" description:"number of boxes; may be given more than once"`
 	Endpoints int     `long:"endpoints" default:"10" description:"endpoints for each box"`
 	Zones     int     `long:"zones" default:"5" description:"availability zones"`
-	Seconds   float64 `long:"seconds" default:"10" description:"length of the quiet time"`
-	Profile   string  `long:"profile" description:"file for a processor profile of the quiet time; with several sizes, of the last"`
-	Start     string  `long:"start-profile" description:"file for a processor profile of the start"`
+	Seconds   float64 `long:"seconds" default:"10" description:"length of the time without requests"`
+	Profile   string  `long:"profile" description:"file for a CPU profile of the time without requests; with several sizes, of the last"`
+	Start     string  `long:"start-profile" description:"file for a CPU profile of the start"`
 	JSON      string  `long:"json" description:"file for the results as JSON"`
-	LogLevel  string  `long:"log-level" default:"error" description:"what boxes log"`
+	LogLevel  string  `long:"log-level" default:"error" description:"log level of the boxes"`
 }
 
 const maxFleet = 1000
 
 func addFleet(parser *flags.Parser) {
-	command.Add(parser, "fleet", "Measure what being in a fleet costs a box",
-		"Run real boxes in one process with a stand-in for the platform's store, and share out what they use while nothing is asked: processor, memory, messages, calls to the store, and how long a start and changes take to reach all.", &fleetCommand{})
+	command.Add(parser, "fleet", "Measure what membership in a fleet costs a box",
+		"Run real boxes in one process with a stand-in for the platform's store, and print what each uses while there are no requests: processor, memory, messages, calls to the store, and how long a start and changes take to reach all boxes.", &fleetCommand{})
 }
 
 // Execute runs the subcommand.
@@ -62,5 +62,5 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(c.JSON, append(data, '\n'), resultMode)
+	return os.WriteFile(c.JSON, append(data, '\n'), resultFileMode)
 }
--- a/cmd/runridge-bench/latency.go
+++ b/cmd/runridge-bench/latency.go
@@ -15,14 +15,14 @@
 	"runridge.example/runridge/modules/command"
 )
 
-// latencyCommand measures what a box adds to a call.
+// latencyCommand measures the latency that a box adds to a call.
 type latencyCommand struct {
-	Rate    float64 `long:"rate" default:"500" description:"calls a second, each straight and through a box"`
+	Rate    float64 `long:"rate" default:"500" description:"calls a second, both directly and through a box"`
 	Seconds float64 `long:"seconds" default:"8" description:"length of the run"`
 }
 
 func addLatency(parser *flags.Parser) {
-	command.Add(parser, "latency", "Measure what a box adds to a call", "Call a plain service straight and through a box, in turn, and print the times.", &latencyCommand{})
+	command.Add(parser, "latency", "Measure the latency that a box adds to a call", "Call a plain service directly and through a box, in turn, and print the times.", &latencyCommand{})
 }
 
 const maxRate = 5000
--- a/cmd/runridge-bench/main.go
+++ b/cmd/runridge-bench/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command runridge-bench drives real boxes with fake engines: a demonstration,
-// measurements of policies and a soak under faults.
+// Command runridge-bench runs real boxes with fake engines: a demonstration, measurements
+// of policies and of costs, and a soak test under faults.
 package main
 
 import (
--- a/cmd/runridge-bench/run.go
+++ b/cmd/runridge-bench/run.go
@@ -16,16 +16,16 @@
 	"runridge.example/runridge/modules/command"
 )
 
-// runCommand measures policies side by side.
+// runCommand measures scheduling policies on the same arrivals.
 type runCommand struct {
-	Scenario []string  `long:"scenario" choice:"bogota" choice:"kolkata" choice:"replies" choice:"documents" default:"bogota" default:"kolkata" description:"user to imitate; may be given more than once"`
+	Scenario []string  `long:"scenario" choice:"bogota" choice:"kolkata" choice:"replies" choice:"documents" default:"bogota" default:"kolkata" description:"user whose load is simulated; may be given more than once"`
 	Policy   []string  `long:"policy" description:"policies to run; default: all (see --help of this command)"`
-	Load     []float64 `long:"load" default:"0.7" default:"1.0" default:"1.3" default:"2.0" description:"offered load over what the engines can do"`
+	Load     []float64 `long:"load" default:"0.7" default:"1.0" default:"1.3" default:"2.0" description:"offered load as a multiple of the engines' capacity"`
 	Faults   string    `long:"faults" choice:"no" choice:"yes" choice:"both" default:"both" description:"run with faults"`
 	Boxes    int       `long:"boxes" default:"8" description:"entry boxes"`
 	Seconds  float64   `long:"seconds" default:"8" description:"length of each run"`
 	Seed     uint64    `long:"seed" default:"1" description:"seed of the arrivals"`
-	Parallel int       `long:"parallel" default:"2" description:"runs at once"`
+	Parallel int       `long:"parallel" default:"2" description:"number of concurrent runs"`
 	JSON     string    `long:"json" description:"file for the results as JSON"`
 }
 
@@ -73,7 +73,7 @@
 	return bench.PrintLines(os.Stdout, results)
 }
 
-const resultMode = 0o644
+const resultFileMode = 0o644
 
 func (c *runCommand) write(results []bench.Result) error {
 	if c.JSON == "" {
@@ -83,5 +83,5 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(c.JSON, append(data, '\n'), resultMode)
+	return os.WriteFile(c.JSON, append(data, '\n'), resultFileMode)
 }
--- a/cmd/runridge-bench/slopes.go
+++ b/cmd/runridge-bench/slopes.go
@@ -18,13 +18,13 @@
 	"runridge.example/runridge/modules/command"
 )
 
-// slopesCommand shows how the cost of a box grows with the fleet.
+// slopesCommand shows how the cost of a box grows with the size of the fleet.
 type slopesCommand struct {
-	To     float64 `long:"to" default:"400" description:"number of boxes that the figures are carried to"`
-	Plot   string  `long:"plot" description:"file for a drawing of one figure, such as capacity.svg"`
-	Figure string  `long:"figure" default:"processor %" description:"the figure that is drawn"`
+	To     float64 `long:"to" default:"400" description:"number of boxes to which the figures are extrapolated"`
+	Plot   string  `long:"plot" description:"file for a plot of one figure, such as capacity.svg"`
+	Figure string  `long:"figure" default:"processor %" description:"the figure to plot"`
 	Args   struct {
-		Entries []string `positional-arg-name:"ENTRY" required:"1" description:"entries of the journal that are sweeps"`
+		Entries []string `positional-arg-name:"ENTRY" required:"1" description:"journal entries with sweeps"`
 	} `positional-args:"true"`
 }
 
@@ -49,7 +49,7 @@
 	return c.draw(sweeps)
 }
 
-// print writes the table of one sweep.
+// print prints the table of one sweep.
 func (c *slopesCommand) print(s slopes.Sweep) {
 	fmt.Printf("\n| %s |", s.Site)
 	for _, n := range s.Boxes {
@@ -73,8 +73,8 @@
 	}
 }
 
-// draw draws one figure of the busiest box over the number of boxes, both by their
-// logarithms.
+// draw plots one figure of the busiest box against the number of boxes, on logarithmic
+// axes.
 func (c *slopesCommand) draw(sweeps []slopes.Sweep) error {
 	p := plot.New()
 	p.Title.Text = c.Figure + ", busiest box"
@@ -99,7 +99,7 @@
 	return p.Save(width, height, c.Plot)
 }
 
-// points are those above 0, which logarithms need.
+// points returns the points with a value above 0; logarithmic axes can't show others.
 func points(s slopes.Sweep, f slopes.Figure) plotter.XYs {
 	var out plotter.XYs
 	for i, n := range s.Boxes {
--- a/cmd/runridge-bench/soak_test.go
+++ b/cmd/runridge-bench/soak_test.go
@@ -15,7 +15,7 @@
 	"runridge.example/runridge/bench/soak/schedule"
 )
 
-// seedFiles are where the fixed seeds stand.
+// seedFiles is the directory of the files with fixed seeds.
 const seedFiles = "../../bench/soak"
 
 func TestSeedFiles(t *testing.T) {
@@ -25,18 +25,18 @@
 		convey.So(err, convey.ShouldBeNil)
 		return runs
 	}
-	convey.Convey("What CI plays is among all fixed seeds and has each kind of fault", t, func() {
+	convey.Convey("The runs of CI are among all fixed seeds and include each kind of fault", t, func() {
 		all := runsOf("seeds.txt")
 		seen := make(map[schedule.Kind]bool)
 		for _, run := range runsOf("seeds-ci.txt") {
 			convey.So(all, convey.ShouldContain, run)
-			if run.Own {
+			if run.Completions {
 				for _, k := range completions.Kinds() {
 					seen[k] = true
 				}
 				continue
 			}
-			for _, e := range soak.Schedule(run.routed(run.Seed)) {
+			for _, e := range soak.Schedule(run.routedConfig(run.Seed)) {
 				seen[e.Kind] = true
 			}
 		}
@@ -48,11 +48,11 @@
 
 func TestRunsRefused(t *testing.T) {
 	for name, text := range map[string]string{
-		"no run":               "# nothing\n",
-		"a run without a seed": "--minutes 1\n",
-		"a word for an option": "seed 5 --seed 4\n",
-		"an unknown option":    "--seeed 5\n",
-		"no room":              "--seed 5 --room 0.5\n",
+		"no run":                   "# nothing\n",
+		"a run without a seed":     "--minutes 1\n",
+		"a word that is no option": "seed 5 --seed 4\n",
+		"an unknown option":        "--seeed 5\n",
+		"a room below 1":           "--seed 5 --room 0.5\n",
 	} {
 		convey.Convey("A file is refused that has "+name, t, func() {
 			file := filepath.Join(t.TempDir(), "seeds.txt")
@@ -62,7 +62,7 @@
 			convey.So(err, convey.ShouldNotBeNil)
 		})
 	}
-	convey.Convey("No seeds are no run", t, func() {
+	convey.Convey("Zero seeds are refused", t, func() {
 		_, err := (&soakCommand{Seed: 1}).runs()
 		convey.So(err, convey.ShouldNotBeNil)
 	})
--- a/cmd/runridge-router/check.go
+++ b/cmd/runridge-router/check.go
@@ -12,13 +12,13 @@
 	"runridge.example/runridge/modules/setting"
 )
 
-// checkCommand checks a settings file and starts nothing.
+// checkCommand validates a settings file without starting the box.
 type checkCommand struct {
 	Settings string `long:"settings" short:"s" required:"true" description:"settings file (JSON)"`
 }
 
 func addCheck(parser *flags.Parser) {
-	command.Add(parser, "check", "Check a settings file", "Read a settings file, name all that is wrong with it, and start nothing.", &checkCommand{})
+	command.Add(parser, "check", "Check a settings file", "Validate a settings file and print every problem, without starting the box.", &checkCommand{})
 }
 
 // Execute runs the subcommand.
@@ -26,6 +26,6 @@
 	if _, err := setting.Load(c.Settings); err != nil {
 		return err
 	}
-	fmt.Println("settings are good")
+	fmt.Println("settings are valid")
 	return nil
 }
--- a/cmd/runridge-router/main.go
+++ b/cmd/runridge-router/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command runridge-router runs on every entry box, all alike.
+// Command runridge-router runs one entry box; every entry box runs the same program.
 package main
 
 import (
--- a/cmd/runridge-router/reload.go
+++ b/cmd/runridge-router/reload.go
@@ -15,28 +15,29 @@
 	"runridge.example/runridge/modules/setting"
 )
 
-// lookEvery is how often the settings file is looked at without a signal.
-const lookEvery = 2 * time.Second
+// pollInterval is how often the settings file is checked for changes without a signal.
+const pollInterval = 2 * time.Second
 
-// reloader takes changed settings over.
+// reloader applies changed settings.
 type reloader interface {
 	Reload(s setting.Box)
 }
 
-// settingsWatch takes changed settings over while the box runs.
+// settingsWatch applies changed settings while the box runs.
 type settingsWatch struct {
-	path string
-	now  setting.Box
-	box  reloader
-	log  *logrus.Logger
-	seen time.Time
+	path    string
+	current setting.Box
+	box     reloader
+	log     *logrus.Logger
+	modTime time.Time
 }
 
-// run reloads at each hangup signal and when the file has changed.
+// run reloads the settings at each SIGHUP and when the file has changed, until the context
+// ends.
 func (w *settingsWatch) run(ctx context.Context, hangups <-chan os.Signal) {
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
-	w.touched()
+	w.modified()
 	for {
 		select {
 		case <-ctx.Done():
@@ -44,34 +45,34 @@
 		case <-hangups:
 			w.reload("hangup")
 		case <-look.C:
-			if w.touched() {
+			if w.modified() {
 				w.reload("file_changed")
 			}
 		}
 	}
 }
 
-// touched says whether the file's time of change is another than before.
-func (w *settingsWatch) touched() bool {
+// modified reports whether the file's modification time differs from the last one seen.
+func (w *settingsWatch) modified() bool {
 	info, err := os.Stat(w.path)
-	if err != nil || info.ModTime().Equal(w.seen) {
+	if err != nil || info.ModTime().Equal(w.modTime) {
 		return false
 	}
-	w.seen = info.ModTime()
+	w.modTime = info.ModTime()
 	return true
 }
 
-// reload puts what may change in a running box into force. Settings that are
-// not good change nothing.
+// reload applies the settings that may change in a running box. Invalid settings change
+// nothing.
 func (w *settingsWatch) reload(cause string) {
 	next, err := setting.Load(w.path)
 	if err != nil {
 		w.log.WithFields(log.Fields{log.FieldReason: cause}).WithError(err).Error("settings_rejected")
 		return
 	}
-	changed := !reflect.DeepEqual(next, w.now)
-	restart := next.NeedsRestart(w.now)
-	w.now = next
+	changed := !reflect.DeepEqual(next, w.current)
+	restart := next.NeedsRestart(w.current)
+	w.current = next
 	if level, err := logrus.ParseLevel(next.LogLevel); err == nil {
 		w.log.SetLevel(level)
 	}
--- a/cmd/runridge-router/serve.go
+++ b/cmd/runridge-router/serve.go
@@ -19,13 +19,13 @@
 	"runridge.example/runridge/platform"
 )
 
-// serveCommand runs the box until it is told to stop.
+// serveCommand runs the box until SIGTERM or SIGINT.
 type serveCommand struct {
 	Settings string `long:"settings" short:"s" required:"true" description:"settings file (JSON)"`
 }
 
 func addServe(parser *flags.Parser) {
-	command.Add(parser, "serve", "Run this entry box", "Serve callers until SIGTERM or SIGINT, then finish what is in flight.", &serveCommand{})
+	command.Add(parser, "serve", "Run this entry box", "Serve callers until SIGTERM or SIGINT, then finish the requests in flight.", &serveCommand{})
 }
 
 // Execute runs the subcommand.
@@ -56,7 +56,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	w := settingsWatch{path: c.Settings, now: settings, box: b, log: logger}
+	w := settingsWatch{path: c.Settings, current: settings, box: b, log: logger}
 	go w.run(ctx, hangups)
 	return b.Run(ctx)
 }
--- a/cmd/runridgectl/accounts.go
+++ b/cmd/runridgectl/accounts.go
@@ -18,10 +18,10 @@
 
 func addAccounts(p *flags.Parser) {
 	addReport(p, "accounts", "Show quotas and their use",
-		"Ask boxes for the accounts that they are home of: limit, use in the window, decisions, and what is lent to which box.", printAccounts)
+		"Query boxes for the accounts that they are home of: limit, use in the window, decisions, and how much is lent to each box.", printAccounts)
 }
 
-// printAccounts writes a row for each account at its home.
+// printAccounts prints a row for each account at its home.
 func printAccounts(w io.Writer, boxes []operatorhttp.Status) error {
 	lent := make(map[string][]string)
 	for _, b := range boxes {
@@ -41,7 +41,7 @@
 		for _, a := range b.Quotas.Accounts {
 			slices.Sort(lent[a.Account])
 			err := out.Append(a.Account, b.Box, strconv.FormatBool(a.StandsIn), fmt.Sprintf("%d/%d", b.Quotas.Sees, b.Quotas.Of),
-				a.Unit, units(a.Rate), units(a.Burst), units(a.Level), units(a.Used),
+				a.Unit, formatAmount(a.Rate), formatAmount(a.Burst), formatAmount(a.Level), formatAmount(a.Used),
 				strconv.FormatUint(a.Admitted, 10), strconv.FormatUint(a.Refused, 10), strings.Join(lent[a.Account], " "))
 			if err != nil {
 				return err
@@ -51,5 +51,5 @@
 	return out.Render()
 }
 
-// units writes an amount without its fraction.
-func units(v float64) string { return strconv.FormatFloat(v, 'f', 0, 64) }
+// formatAmount formats an amount without its fraction.
+func formatAmount(v float64) string { return strconv.FormatFloat(v, 'f', 0, 64) }
--- a/cmd/runridgectl/accounts_test.go
+++ b/cmd/runridgectl/accounts_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestPrintAccounts(t *testing.T) {
-	convey.Convey("Each account stands with its home, its use and the boxes that it was lent to", t, func() {
+	convey.Convey("Each account is listed with its home, its use and the boxes that it was lent to", t, func() {
 		boxes := []operatorhttp.Status{
 			{Box: "box-1", Quotas: &quota.Status{
 				Sees: 2, Of: 3,
@@ -31,7 +31,7 @@
 			convey.So(out.String(), convey.ShouldContainSubstring, want)
 		}
 	})
-	convey.Convey("Each group stands with its home and the work behind its plan", t, func() {
+	convey.Convey("Each group is listed with its home and the work that its plan is based on", t, func() {
 		boxes := []operatorhttp.Status{{Box: "box-1", Stages: []home.StagePlan{{Group: "lm/bog-a", Engines: 13, Prefills: 5, Wanted: 3, MeanWork: 1.214, ObservedMS: 3000}}}}
 		var out bytes.Buffer
 		convey.So(printStages(&out, boxes), convey.ShouldBeNil)
@@ -39,7 +39,7 @@
 			convey.So(out.String(), convey.ShouldContainSubstring, want)
 		}
 	})
-	convey.Convey("An address that is none is named", t, func() {
+	convey.Convey("An invalid address is an error", t, func() {
 		_, err := statusOf("box-1:80", time.Second)
 		convey.So(err.Error(), convey.ShouldContainSubstring, "an IP number and port")
 	})
--- a/cmd/runridgectl/allowed.go
+++ b/cmd/runridgectl/allowed.go
@@ -16,10 +16,11 @@
 
 func addAllowed(p *flags.Parser) {
 	addReport(p, "allowed", "Show allowed regions",
-		"Ask boxes which routes and client accounts may be served in some regions only, by the table in force on each.", printAllowed)
+		"Query boxes for the routes and client accounts that may be served in some regions only, by the table in force on each box.", printAllowed)
 }
 
-// printAllowed writes a row for each route and account that is bound, on each box.
+// printAllowed prints, for each box, a row for each route and account that is bound to some
+// regions.
 func printAllowed(w io.Writer, boxes []operatorhttp.Status) error {
 	out := tablewriter.NewWriter(w)
 	out.Header("of", "name", "allowed regions", "box", "generation")
--- a/cmd/runridgectl/builds.go
+++ b/cmd/runridgectl/builds.go
@@ -19,10 +19,10 @@
 
 func addBuilds(p *flags.Parser) {
 	addReport(p, "builds", "Show which builds run",
-		"Ask boxes which build they run, which version of messages they read, how many boxes of each version have greeted them, and what they were sent that they do not know. An upgrade is over when all have one build.", printBuilds)
+		"Query boxes for their build, the version of messages that they read, how many boxes of each version have greeted them, and the messages that they received but do not know. An upgrade is complete when all boxes have the same build.", printBuilds)
 }
 
-// printBuilds writes a row for each box.
+// printBuilds prints a row for each box, sorted by name.
 func printBuilds(w io.Writer, boxes []operatorhttp.Status) error {
 	out := tablewriter.NewWriter(w)
 	out.Header("box", "build", "reads", "greeted by", "not known")
--- a/cmd/runridgectl/builds_test.go
+++ b/cmd/runridgectl/builds_test.go
@@ -22,10 +22,10 @@
 	text := out.String()
 	for _, want := range []string{"1 of version 0, 5 of version 1", "200 unknown: 3", "0.2"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is missing in\n%s", want, text)
+			t.Errorf("%q is missing from\n%s", want, text)
 		}
 	}
 	if strings.Index(text, "0.1") > strings.Index(text, "0.2") {
-		t.Errorf("boxes are not in order:\n%s", text)
+		t.Errorf("boxes are not sorted:\n%s", text)
 	}
 }
--- a/cmd/runridgectl/cold.go
+++ b/cmd/runridgectl/cold.go
@@ -16,11 +16,11 @@
 
 func addCold(p *flags.Parser) {
 	addReport(p, "cold", "Show cold endpoints",
-		"Ask boxes for the cold endpoints of the groups that they are home of: the pace that each bears, until when, and what it was granted lately.",
+		"Query boxes for the cold endpoints of the groups that they are home of: the pace of each, until when it is cold, and what it was granted recently.",
 		func(w io.Writer, boxes []operatorhttp.Status) error { return printCold(w, boxes, time.Now()) })
 }
 
-// printCold writes a row for each cold endpoint at its home.
+// printCold prints a row for each cold endpoint at its home.
 func printCold(w io.Writer, boxes []operatorhttp.Status, now time.Time) error {
 	out := tablewriter.NewWriter(w)
 	out.Header("endpoint", "group", "home", "pace per s", "granted", "limit", "cold until")
--- a/cmd/runridgectl/cold_test.go
+++ b/cmd/runridgectl/cold_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestPrintCold(t *testing.T) {
-	convey.Convey("Each cold endpoint stands with its home, its pace and until when", t, func() {
+	convey.Convey("Each cold endpoint is listed with its home, its pace and when it is warm", t, func() {
 		boxes := []operatorhttp.Status{
 			{Box: "box-1", Cold: []home.ColdEndpoint{{Group: "lm/bog-a", Endpoint: "e7", WarmInMS: 4000, Pace: 1.5, Counted: 3, Limit: 5}}},
 			{Box: "box-2"},
--- a/cmd/runridgectl/explain.go
+++ b/cmd/runridgectl/explain.go
@@ -14,7 +14,7 @@
 	"runridge.example/runridge/modules/timeline"
 )
 
-// explainCommand tells the story of one request from the boxes' logs.
+// explainCommand prints the timeline of one request from the boxes' logs.
 type explainCommand struct {
 	Request string `long:"request" short:"r" required:"true" description:"the request's id"`
 	Args    struct {
@@ -23,7 +23,7 @@
 }
 
 func addExplain(p *flags.Parser) {
-	command.Add(p, "explain", "Tell what became of a request", "Merge the boxes' logs into the time line of one request.", &explainCommand{})
+	command.Add(p, "explain", "Show what happened to a request", "Merge the boxes' logs into the timeline of one request.", &explainCommand{})
 }
 
 // Execute runs the subcommand.
@@ -32,11 +32,11 @@
 	if err != nil {
 		return err
 	}
-	story := timeline.Of(c.Request, lines)
-	if len(story) == 0 {
+	found := timeline.ForRequest(c.Request, lines)
+	if len(found) == 0 {
 		return invalid.FieldError{Field: "request", Value: c.Request, Allowed: "an id that a line of these logs names"}
 	}
-	for _, l := range story {
+	for _, l := range found {
 		fmt.Println(l.Text)
 	}
 	return nil
--- a/cmd/runridgectl/limits.go
+++ b/cmd/runridgectl/limits.go
@@ -15,12 +15,12 @@
 )
 
 func addLimits(p *flags.Parser) {
-	addReport(p, "limits", "Show endpoints that name a limit",
-		"Ask boxes for the endpoints of the groups that they are home of which name how many requests a second they take: the limit, the part of it that the box grants, and how long ago the endpoint was last heard.",
+	addReport(p, "limits", "Show endpoints that announce a limit",
+		"Query boxes for the endpoints, in the groups that they are home of, that announce how many requests a second they accept: the limit, the part of it that the box grants, and the time since the endpoint last announced it.",
 		printLimits)
 }
 
-// printLimits writes a row for each endpoint that names a limit at its home.
+// printLimits prints a row for each endpoint that announces a limit, at its home.
 func printLimits(w io.Writer, boxes []operatorhttp.Status) error {
 	number := func(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 	out := tablewriter.NewWriter(w)
--- a/cmd/runridgectl/limits_test.go
+++ b/cmd/runridgectl/limits_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestPrintLimits(t *testing.T) {
-	convey.Convey("Each endpoint that names a limit stands with its home and what that grants", t, func() {
+	convey.Convey("Each endpoint that announces a limit is listed with its home and what the home grants", t, func() {
 		boxes := []operatorhttp.Status{
 			{Box: "box-1", Limited: []home.LimitedEndpoint{{Group: "desk", Endpoint: "e7", PerSecond: 2.8, Rate: 0.7, HeardMS: 1200}}},
 			{Box: "box-2"},
--- a/cmd/runridgectl/main.go
+++ b/cmd/runridgectl/main.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command runridgectl is the operators' program: it reads and changes the
-// table in the platform. Exit codes: 0 done, 1 wrong input or failure, 2 the
-// change met another operator's.
+// Command runridgectl is the operators' tool: it reads and changes the table in the
+// platform and prints reports from boxes. Exit codes: 0 success, 1 invalid input or
+// failure, 2 conflict with another operator's change.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	"runridge.example/runridge/transport/platformhttp"
 )
 
-// exitConflict says that another operator's change came first.
+// exitConflict is the exit code if another operator's change came first.
 const exitConflict = 2
 
 func main() {
@@ -46,7 +46,7 @@
 	os.Exit(command.Run(parser, exitCode))
 }
 
-// exitCode tells a lost race from other failures.
+// exitCode returns exitConflict for a conflict and ExitFailure for other errors.
 func exitCode(err error) int {
 	var conflict *change.ConflictError
 	if errors.As(err, &conflict) {
@@ -55,13 +55,14 @@
 	return command.ExitFailure
 }
 
-// platformOptions say where the platform is.
+// platformOptions are the platform's address and the timeout.
 type platformOptions struct {
-	Platform string        `long:"platform" env:"RUNRIDGE_PLATFORM" required:"true" description:"object API's IP number and port"`
-	Timeout  time.Duration `long:"timeout" default:"30s" description:"bound on the whole command"`
+	Platform string        `long:"platform" env:"RUNRIDGE_PLATFORM" required:"true" description:"IP address and port of the object API"`
+	Timeout  time.Duration `long:"timeout" default:"30s" description:"timeout of the whole command"`
 }
 
-// open connects to the platform; the returned function ends it.
+// open creates a platform client and a context with the timeout; the returned function
+// releases both.
 func (o platformOptions) open() (context.Context, *platformhttp.Client, func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), o.Timeout)
 	client := platformhttp.New(o.Platform)
@@ -71,10 +72,10 @@
 	}
 }
 
-// writeOptions say who changes the table and why.
+// writeOptions are the author of a change and the reason for it.
 type writeOptions struct {
-	Author string `long:"author" env:"RUNRIDGE_AUTHOR" description:"who makes the change; default: the user's name"`
-	Note   string `long:"note" description:"why, for the history"`
+	Author string `long:"author" env:"RUNRIDGE_AUTHOR" description:"author of the change; default: the name of the current user"`
+	Note   string `long:"note" description:"reason for the change, kept in the history"`
 }
 
 func (o writeOptions) author() string {
--- a/cmd/runridgectl/poison.go
+++ b/cmd/runridgectl/poison.go
@@ -19,19 +19,19 @@
 )
 
 func addPoison(p *flags.Parser) {
-	addReport(p, "poison", "Show requests that end endpoints",
-		"Ask boxes which requests are kept from the endpoints since they end those that run them, how many ended, and which boxes do not know it.", printPoison)
+	addReport(p, "poison", "Show requests that terminate endpoints",
+		"Query boxes for the requests that are kept from the endpoints because they terminate those that run them, how many endpoints terminated, and which boxes do not block the request yet.", printPoison)
 }
 
-// blockedAt is one poison request on the boxes that block it.
+// blockedAt is one poison request with the boxes that block it.
 type blockedAt struct {
-	// latest is the word of the box that has seen it last.
+	// latest is the report of the box that saw the request last.
 	latest quarantine.BlockedStatus
 	boxes  []string
 }
 
-// blockedOn gathers the poison requests of all boxes by fingerprint.
-func blockedOn(boxes []operatorhttp.Status) map[string]blockedAt {
+// blockedByFingerprint collects the poison requests of all boxes by fingerprint.
+func blockedByFingerprint(boxes []operatorhttp.Status) map[string]blockedAt {
 	out := make(map[string]blockedAt)
 	for _, b := range boxes {
 		for _, s := range b.Poison.Blocked {
@@ -46,21 +46,21 @@
 	return out
 }
 
-// printPoison writes a row for each poison request.
+// printPoison prints a row for each poison request.
 func printPoison(w io.Writer, boxes []operatorhttp.Status) error {
 	out := tablewriter.NewWriter(w)
 	out.Header("fingerprint", "endpoints ended", "last seen", "not known on")
-	found := blockedOn(boxes)
+	found := blockedByFingerprint(boxes)
 	for _, fingerprint := range slices.Sorted(maps.Keys(found)) {
 		at := found[fingerprint]
-		var lack []string
+		var missing []string
 		for _, b := range boxes {
 			if !slices.Contains(at.boxes, b.Box) {
-				lack = append(lack, b.Box)
+				missing = append(missing, b.Box)
 			}
 		}
 		seen := time.Duration(at.latest.SeenMS) * time.Millisecond
-		if err := out.Append(fingerprint, strconv.Itoa(at.latest.Ends), seen.String()+" ago", strings.Join(lack, " ")); err != nil {
+		if err := out.Append(fingerprint, strconv.Itoa(at.latest.Ends), seen.String()+" ago", strings.Join(missing, " ")); err != nil {
 			return err
 		}
 	}
--- a/cmd/runridgectl/poison_test.go
+++ b/cmd/runridgectl/poison_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestPrintPoison(t *testing.T) {
-	convey.Convey("A request that is blocked on some boxes stands with its ends and the others", t, func() {
+	convey.Convey("A request that only some boxes block is listed with its endpoint count and the other boxes", t, func() {
 		blocked := func(ends int, seen int64) quarantine.Status {
 			return quarantine.Status{Suspects: 9, Blocked: []quarantine.BlockedStatus{{Fingerprint: "37d5", Ends: ends, SeenMS: seen}}}
 		}
--- a/cmd/runridgectl/read.go
+++ b/cmd/runridgectl/read.go
@@ -28,7 +28,7 @@
 }
 
 func addInit(p *flags.Parser) {
-	command.Add(p, "init", "Print an example table", "Print an example table as JSON, to be edited and applied.", &initCommand{})
+	command.Add(p, "init", "Print an example table", "Print an example table as JSON, to edit and apply.", &initCommand{})
 }
 
 // Execute runs the subcommand.
@@ -49,19 +49,19 @@
 	return err
 }
 
-// maxTable bounds a table file, in bytes.
-const maxTable = 1 << 20
+// maxTableBytes is the maximum size of a table file.
+const maxTableBytes = 1 << 20
 
-// readTable reads a table file; "-" is standard input. A field that is not
-// known is an error, so that a misspelt one is not lost.
+// readTable reads and validates a table file; "-" is standard input. An unknown field is an
+// error, so that a misspelt field is not silently dropped.
 func readTable(path string) (table.Table, error) {
 	var t table.Table
 	data, err := readInput(path)
 	if err != nil {
 		return t, err
 	}
-	if len(data) > maxTable {
-		return t, invalid.FieldError{Field: "table file", Value: fmt.Sprintf("%d bytes", len(data)), Allowed: fmt.Sprintf("at most %d", maxTable)}
+	if len(data) > maxTableBytes {
+		return t, invalid.FieldError{Field: "table file", Value: fmt.Sprintf("%d bytes", len(data)), Allowed: fmt.Sprintf("at most %d", maxTableBytes)}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -81,7 +81,7 @@
 	return os.ReadFile(path)
 }
 
-// checkCommand checks a table file.
+// checkCommand validates a table file.
 type checkCommand struct {
 	Args fileArg `positional-args:"true"`
 }
@@ -91,7 +91,7 @@
 }
 
 func addCheck(p *flags.Parser) {
-	command.Add(p, "check", "Check a table file", "Check a whole table and name every row and cell that is wrong. Nothing is written.", &checkCommand{})
+	command.Add(p, "check", "Check a table file", "Validate a whole table and print every invalid row and cell. Nothing is written.", &checkCommand{})
 }
 
 // Execute runs the subcommand.
@@ -99,11 +99,11 @@
 	if _, err := readTable(c.Args.File); err != nil {
 		return err
 	}
-	fmt.Println("table is good")
+	fmt.Println("table is valid")
 	return nil
 }
 
-// getCommand prints the table in the platform.
+// getCommand prints the table stored in the platform.
 type getCommand struct {
 	platformOptions
 }
@@ -123,13 +123,13 @@
 	return printJSON(d.Table)
 }
 
-// historyCommand lists the last accepted changes.
+// historyCommand lists the latest accepted changes.
 type historyCommand struct {
 	platformOptions
 }
 
 func addHistory(p *flags.Parser) {
-	command.Add(p, "history", "List the last changes", "List who changed the table, when and why, the newest last.", &historyCommand{})
+	command.Add(p, "history", "List the last changes", "List who changed the table, when and why, newest last.", &historyCommand{})
 }
 
 // Execute runs the subcommand.
--- a/cmd/runridgectl/regions.go
+++ b/cmd/runridgectl/regions.go
@@ -19,16 +19,17 @@
 )
 
 func addRegions(p *flags.Parser) {
-	addReport(p, "regions", "Show regions, delays between zones and homes of groups",
-		"Ask boxes for their zone and region, the round trips to other zones that they measured, and the home of each group.", printPlaces)
+	addReport(p, "regions", "Show regions, round trips between zones and homes of groups",
+		"Query boxes for their zone and region, the round trips to other zones that they measured, and the home of each group.", printRegionsAndHomes)
 }
 
-// printPlaces writes where the boxes are, and then the homes of groups.
-func printPlaces(w io.Writer, boxes []operatorhttp.Status) error {
+// printRegionsAndHomes prints the boxes with their regions, then the groups with their
+// homes.
+func printRegionsAndHomes(w io.Writer, boxes []operatorhttp.Status) error {
 	return errors.Join(printRegions(w, boxes), printHomes(w, boxes))
 }
 
-// printRegions writes a row for each box.
+// printRegions prints a row for each box.
 func printRegions(w io.Writer, boxes []operatorhttp.Status) error {
 	out := tablewriter.NewWriter(w)
 	out.Header("box", "zone", "region", "round trips")
@@ -40,7 +41,7 @@
 	return out.Render()
 }
 
-// roundTrips writes the round trips by zone.
+// roundTrips formats the round trips, sorted by zone.
 func roundTrips(microseconds map[string]int64) string {
 	parts := make([]string, 0, len(microseconds))
 	for _, zone := range slices.Sorted(maps.Keys(microseconds)) {
@@ -50,8 +51,8 @@
 	return strings.Join(parts, " ")
 }
 
-// printHomes writes a row for each group and home; boxes that see another home for a
-// group stand in rows of their own.
+// printHomes prints a row for each group and home. If boxes disagree on a group's home,
+// each home has its own row.
 func printHomes(w io.Writer, boxes []operatorhttp.Status) error {
 	seen := make(map[operatorhttp.GroupHome]int)
 	for _, b := range boxes {
--- a/cmd/runridgectl/regions_test.go
+++ b/cmd/runridgectl/regions_test.go
@@ -20,12 +20,12 @@
 		{Box: "box-2", Zone: "b-1", Region: "b", Homes: []operatorhttp.GroupHome{near}},
 		{Box: "box-3", Zone: "b-1", Region: "b", Homes: []operatorhttp.GroupHome{far}},
 	}
-	convey.Convey("Each box stands with its region and the delays that it measured", t, func() {
+	convey.Convey("Each box is listed with its region and the round trips that it measured", t, func() {
 		var out bytes.Buffer
 		convey.So(printRegions(&out, boxes), convey.ShouldBeNil)
 		convey.So(out.String(), convey.ShouldContainSubstring, "a-2:900µs b-1:41.2ms")
 	})
-	convey.Convey("Each group stands with its home and how many boxes see it so", t, func() {
+	convey.Convey("Each group is listed with its home and how many boxes agree on it", t, func() {
 		var out bytes.Buffer
 		convey.So(printHomes(&out, boxes), convey.ShouldBeNil)
 		for _, want := range []string{"lm@a", "box-1", "2/3", "box-2", "1/3"} {
--- a/cmd/runridgectl/report.go
+++ b/cmd/runridgectl/report.go
@@ -21,14 +21,14 @@
 	"runridge.example/runridge/transport/operatorhttp"
 )
 
-// reportCommand asks boxes for their status and prints one report on it.
+// reportCommand queries boxes for their status and prints one report on it.
 type reportCommand struct {
-	Timeout time.Duration `long:"timeout" default:"5s" description:"bound on the answer of each box"`
+	Timeout time.Duration `long:"timeout" default:"5s" description:"timeout of the query to each box"`
 	Args    struct {
 		Boxes []string `positional-arg-name:"IP:PORT" required:"1" description:"operator addresses of the boxes"`
 	} `positional-args:"true"`
 
-	// report prints it.
+	// report prints the report.
 	report func(w io.Writer, boxes []operatorhttp.Status) error
 }
 
@@ -43,8 +43,8 @@
 	return errors.Join(c.report(os.Stdout, boxes), failed)
 }
 
-// statuses asks boxes for their status. Those that do not answer are told as an
-// error; the others may still tell what is looked for.
+// statuses queries the boxes for their status. Boxes that do not answer are returned as an
+// error, with the statuses of the others, which may still be enough.
 func (c *reportCommand) statuses() ([]operatorhttp.Status, error) {
 	var boxes []operatorhttp.Status
 	var failed error
@@ -59,10 +59,10 @@
 	return boxes, failed
 }
 
-// maxStatus bounds a box's status, in bytes.
-const maxStatus = 4 << 20
+// maxStatusBytes is the maximum size of a box's status that is read.
+const maxStatusBytes = 4 << 20
 
-// statusOf asks a box for its status.
+// statusOf queries a box for its status.
 func statusOf(address string, timeout time.Duration) (operatorhttp.Status, error) {
 	var s operatorhttp.Status
 	if _, err := netip.ParseAddrPort(address); err != nil {
@@ -82,5 +82,5 @@
 	if resp.StatusCode != http.StatusOK {
 		return s, fmt.Errorf("answered %s", resp.Status)
 	}
-	return s, json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&s)
+	return s, json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&s)
 }
--- a/cmd/runridgectl/stages.go
+++ b/cmd/runridgectl/stages.go
@@ -15,11 +15,11 @@
 )
 
 func addStages(p *flags.Parser) {
-	addReport(p, "stages", "Show how engines are shared out between prefill and decode",
-		"Ask boxes for the groups that they are home of: how many engines prefill, how many should, and the prompt work behind that.", printStages)
+	addReport(p, "stages", "Show how engines are divided between prefill and decode",
+		"Query boxes for the groups that they are home of: how many engines prefill, how many should, and the prompt work that this is based on.", printStages)
 }
 
-// printStages writes a row for each group at its home.
+// printStages prints a row for each group at its home.
 func printStages(w io.Writer, boxes []operatorhttp.Status) error {
 	out := tablewriter.NewWriter(w)
 	out.Header("group", "home", "engines", "prefill", "wanted", "changing", "mean work", "peak work", "observed")
@@ -27,7 +27,7 @@
 		for _, s := range b.Stages {
 			observed := time.Duration(s.ObservedMS) * time.Millisecond
 			err := out.Append(s.Group, b.Box, strconv.Itoa(s.Engines), strconv.Itoa(s.Prefills), strconv.Itoa(s.Wanted),
-				strconv.Itoa(s.Changing), engines(s.MeanWork), engines(s.PeakWork), observed.String())
+				strconv.Itoa(s.Changing), formatWork(s.MeanWork), formatWork(s.PeakWork), observed.String())
 			if err != nil {
 				return err
 			}
@@ -36,5 +36,5 @@
 	return out.Render()
 }
 
-// engines writes an amount of work.
-func engines(v float64) string { return strconv.FormatFloat(v, 'f', 2, 64) }
+// formatWork formats an amount of work, in engines.
+func formatWork(v float64) string { return strconv.FormatFloat(v, 'f', 2, 64) }
--- a/cmd/runridgectl/traffic.go
+++ b/cmd/runridgectl/traffic.go
@@ -18,13 +18,13 @@
 
 func addTraffic(p *flags.Parser) {
 	addReport(p, "traffic", "Show what boxes send to each other",
-		"Ask boxes for the bytes that they have sent to others since they started, and add them up by kind of message and distance, the largest first.", printTraffic)
+		"Query boxes for the bytes that they have sent to other boxes since they started, and sum them by kind of message and distance, largest first.", printTraffic)
 }
 
-// flowKey is what flows of several boxes are added up by.
+// flowKey is the key by which flows of several boxes are summed.
 type flowKey struct{ distance, kind string }
 
-// printTraffic writes a row for each kind and distance.
+// printTraffic prints a row for each kind of message and distance.
 func printTraffic(w io.Writer, boxes []operatorhttp.Status) error {
 	sums := make(map[flowKey]operatorhttp.Flow)
 	for _, b := range boxes {
--- a/cmd/runridgectl/traffic_test.go
+++ b/cmd/runridgectl/traffic_test.go
@@ -27,6 +27,6 @@
 	}
 	ask, update, member := strings.Index(out.String(), "2000"), strings.Index(out.String(), "1000"), strings.Index(out.String(), "same_zone")
 	if ask < 0 || update < ask || member < update {
-		t.Errorf("flows are not added up, or not in order:\n%s", out.String())
+		t.Errorf("flows are not summed, or not sorted:\n%s", out.String())
 	}
 }
--- a/cmd/runridgectl/write.go
+++ b/cmd/runridgectl/write.go
@@ -18,11 +18,12 @@
 	"runridge.example/runridge/state/table"
 )
 
-// put writes a table that was made from a document and says what happened.
-func put(ctx context.Context, p change.Platform, base change.Document, next table.Table, o writeOptions) error {
+// putTable writes a table that was made from a document, unless nothing differs, and prints
+// the result.
+func putTable(ctx context.Context, p change.Platform, base change.Document, next table.Table, o writeOptions) error {
 	touched := table.Diff(base.Table, next).Names()
 	if base.Generation > 0 && len(touched) == 0 {
-		fmt.Printf("generation %d stands already; nothing to change\n", base.Generation)
+		fmt.Printf("generation %d is already current; nothing to change\n", base.Generation)
 		return nil
 	}
 	stamp := change.Stamp{ID: uuid.NewString(), Author: o.author(), Note: o.Note, At: time.Now().UTC()}
@@ -62,21 +63,21 @@
 	if err != nil {
 		return err
 	}
-	return put(ctx, client, base, next, c.writeOptions)
+	return putTable(ctx, client, base, next, c.writeOptions)
 }
 
-// drainCommand marks an endpoint as leaving.
+// drainCommand marks an endpoint as leaving, or with Undo clears the mark.
 type drainCommand struct {
 	platformOptions
 	writeOptions
-	Undo bool `long:"undo" description:"let the endpoint take work again"`
+	Undo bool `long:"undo" description:"let the endpoint receive requests again"`
 	Args struct {
 		Endpoint string `positional-arg-name:"ENDPOINT" required:"true"`
 	} `positional-args:"true"`
 }
 
 func addDrain(p *flags.Parser) {
-	command.Add(p, "drain", "Give an endpoint no new work", "Mark an endpoint as leaving: it gets no new work and finishes what it has. With --undo it takes work again.", &drainCommand{})
+	command.Add(p, "drain", "Stop sending new requests to an endpoint", "Mark an endpoint as leaving: it receives no new requests and finishes those in flight. With --undo it receives requests again.", &drainCommand{})
 }
 
 // Execute runs the subcommand.
@@ -91,17 +92,18 @@
 	if err != nil {
 		return err
 	}
-	return put(ctx, client, base, next, c.writeOptions)
+	return putTable(ctx, client, base, next, c.writeOptions)
 }
 
-// fileChange is a change by a whole table file.
+// fileChange is a change given as a whole table file.
 type fileChange struct {
 	platformOptions
 	Args fileArg `positional-args:"true"`
 }
 
-// load reads the file and what it would replace. The file's generation, as get
-// printed it, says what it was made from.
+// load reads the file and the document that it would replace. The file's generation, as
+// printed by get, is the one that it was made from; if the platform has another, load
+// returns a ConflictError.
 func (c fileChange) load(ctx context.Context, p change.Platform) (change.Document, table.Table, error) {
 	next, err := readTable(c.Args.File)
 	if err != nil {
@@ -117,7 +119,7 @@
 	if next.Generation == 0 {
 		return base, next, invalid.FieldError{
 			Field: "generation", Value: "0",
-			Allowed: fmt.Sprintf("the generation that the file was made from; %d stands now (see: runridgectl get)", base.Generation),
+			Allowed: fmt.Sprintf("the generation that the file was made from; the current one is %d (see: runridgectl get)", base.Generation),
 		}
 	}
 	if next.Generation != base.Generation {
@@ -132,7 +134,7 @@
 	return base, next, nil
 }
 
-// planCommand shows what a file would change.
+// planCommand prints what applying a file would change.
 type planCommand struct {
 	fileChange
 }
@@ -155,14 +157,14 @@
 	return nil
 }
 
-// applyCommand puts a whole table.
+// applyCommand writes a whole table file to the platform.
 type applyCommand struct {
 	fileChange
 	writeOptions
 }
 
 func addApply(p *flags.Parser) {
-	command.Add(p, "apply", "Put a table file", "Put a whole table into the platform if nobody has changed it since the file's generation. A first table needs no generation.", &applyCommand{})
+	command.Add(p, "apply", "Apply a table file", "Write a whole table to the platform unless it was changed since the file's generation. A first table needs no generation.", &applyCommand{})
 }
 
 // Execute runs the subcommand.
@@ -173,5 +175,5 @@
 	if err != nil {
 		return err
 	}
-	return put(ctx, client, base, next, c.writeOptions)
+	return putTable(ctx, client, base, next, c.writeOptions)
 }
--- a/cmd/runridgectl/zones.go
+++ b/cmd/runridgectl/zones.go
@@ -19,10 +19,10 @@
 
 func addZones(p *flags.Parser) {
 	addReport(p, "zones", "Show drained availability zones",
-		"Ask boxes which availability zones are drained, since when and by which revision, and which boxes do not know the newest change yet.", printZones)
+		"Query boxes for the drained availability zones, since when and by which revision they are drained, and which boxes do not know the newest change yet.", printZones)
 }
 
-// newestZones is the word of the box that knows the newest change.
+// newestZones returns the report of the box that knows the newest change.
 func newestZones(boxes []operatorhttp.Status) drain.Status {
 	var newest drain.Status
 	for _, b := range boxes {
@@ -33,8 +33,9 @@
 	return newest
 }
 
-// behind lists the boxes on which a zone's state by the newest change is not in force.
-func behind(boxes []operatorhttp.Status, zone string, drained bool) []string {
+// outdatedBoxes returns the boxes on which a zone's state differs from drained, its state
+// by the newest change.
+func outdatedBoxes(boxes []operatorhttp.Status, zone string, drained bool) []string {
 	var out []string
 	for _, b := range boxes {
 		if b.Zones != nil && b.Zones.Has(zone) != drained {
@@ -45,7 +46,7 @@
 	return out
 }
 
-// zoneNames lists the zones that any of the boxes has drained.
+// zoneNames returns the zones that are drained on any of the boxes.
 func zoneNames(boxes []operatorhttp.Status) []string {
 	var out []string
 	for _, b := range boxes {
@@ -60,8 +61,8 @@
 	return slices.Compact(out)
 }
 
-// firstDrained is the revision of a zone's drain, and when it first came into force
-// on one of the boxes.
+// firstDrained returns the revision of a zone's drain, and when it first came into force on
+// one of the boxes.
 func firstDrained(boxes []operatorhttp.Status, zone string) (uint64, time.Time) {
 	revision, first := uint64(0), time.Time{}
 	for _, b := range boxes {
@@ -77,7 +78,7 @@
 	return revision, first
 }
 
-// printZones writes a row for each zone that is drained, or still is on some box.
+// printZones prints a row for each zone that is drained, or that still is on some box.
 func printZones(w io.Writer, boxes []operatorhttp.Status) error {
 	newest := newestZones(boxes)
 	out := tablewriter.NewWriter(w)
@@ -86,7 +87,7 @@
 		drained := newest.Has(zone)
 		revision, since := firstDrained(boxes, zone)
 		err := out.Append(zone, strconv.FormatBool(drained), since.Format(time.RFC3339Nano), strconv.FormatUint(revision, 10),
-			strconv.FormatUint(newest.Revision, 10), strings.Join(behind(boxes, zone, drained), " "))
+			strconv.FormatUint(newest.Revision, 10), strings.Join(outdatedBoxes(boxes, zone, drained), " "))
 		if err != nil {
 			return err
 		}
--- a/cmd/runridgectl/zones_test.go
+++ b/cmd/runridgectl/zones_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestPrintAllowed(t *testing.T) {
-	convey.Convey("Each bound route and account stands with its regions", t, func() {
+	convey.Convey("Each bound route and account is listed with its regions", t, func() {
 		boxes := []operatorhttp.Status{
 			{Box: "box-1", Generation: 77, Bound: []operatorhttp.Bound{
 				{Of: operatorhttp.BoundOfRoute, Name: "letters", Regions: []string{"north", "west"}},
@@ -38,25 +38,25 @@
 		return drain.ZoneStatus{Zone: name, Revision: revision, Since: since}
 	}
 	cases := map[string]struct {
-		boxes      []operatorhttp.Status
-		want, lack []string
+		boxes        []operatorhttp.Status
+		want, absent []string
 	}{
-		"a box that does not know of the drain yet": {
+		"one box does not know of the drain yet": {
 			boxes: []operatorhttp.Status{
 				{Box: "box-1", Zones: &drain.Status{Known: true, Revision: 40, Drained: []drain.ZoneStatus{zone("zone-a", 40)}}},
 				{Box: "box-2", Zones: &drain.Status{Known: true, Revision: 1}},
 				{Box: "box-3"},
 			},
-			want: []string{"zone-a", "true", "2026-03-04T05:06:07Z", "40", "box-2"},
-			lack: []string{"box-1", "box-3"},
+			want:   []string{"zone-a", "true", "2026-03-04T05:06:07Z", "40", "box-2"},
+			absent: []string{"box-1", "box-3"},
 		},
-		"a box that does not know yet that it was taken back": {
+		"one box does not know yet that the drain was undone": {
 			boxes: []operatorhttp.Status{
 				{Box: "box-1", Zones: &drain.Status{Known: true, Revision: 60}},
 				{Box: "box-2", Zones: &drain.Status{Known: true, Revision: 40, Drained: []drain.ZoneStatus{zone("zone-a", 40)}}},
 			},
-			want: []string{"zone-a", "false", "60", "box-2"},
-			lack: []string{"box-1"},
+			want:   []string{"zone-a", "false", "60", "box-2"},
+			absent: []string{"box-1"},
 		},
 	}
 	for name, c := range cases {
@@ -67,8 +67,8 @@
 				for _, want := range c.want {
 					convey.So(out.String(), convey.ShouldContainSubstring, want)
 				}
-				for _, lack := range c.lack {
-					convey.So(out.String(), convey.ShouldNotContainSubstring, lack)
+				for _, absent := range c.absent {
+					convey.So(out.String(), convey.ShouldNotContainSubstring, absent)
 				}
 			})
 		})
--- a/modules/timeline/callers.go
+++ b/modules/timeline/callers.go
@@ -11,9 +11,9 @@
 	"runridge.example/runridge/modules/log"
 )
 
-// Callers summarizes what the callers of one service experienced, with times counted from
+// CallerSummary summarizes what the callers of one service experienced, with times counted from
 // their first try.
-type Callers struct {
+type CallerSummary struct {
 	Service string
 	// Target is the time within which an answer, or its first event, is in time.
 	Target time.Duration
@@ -53,35 +53,35 @@
 	repeatRefusalCost = 0.3
 )
 
-// AccountOf summarizes what the callers of each service experienced, sorted by service
+// SummarizeCallers summarizes what the callers of each service experienced, sorted by service
 // name. Requests that reached no service are left out.
-func AccountOf(lines []Line) []Callers {
-	sums := make(map[string]*callersSum)
+func SummarizeCallers(lines []Line) []CallerSummary {
+	sums := make(map[string]*callerTotals)
 	for _, l := range lines {
 		service := l.Field("service")
 		if l.Field(fieldEvent) != requestEndedEvent || service == "" {
 			continue
 		}
 		if sums[service] == nil {
-			sums[service] = &callersSum{Callers: Callers{Service: service}}
+			sums[service] = &callerTotals{CallerSummary: CallerSummary{Service: service}}
 		}
 		sums[service].add(l)
 	}
-	out := make([]Callers, 0, len(sums))
+	out := make([]CallerSummary, 0, len(sums))
 	for _, s := range sums {
 		out = append(out, s.result())
 	}
-	slices.SortFunc(out, func(a, b Callers) int { return strings.Compare(a.Service, b.Service) })
+	slices.SortFunc(out, func(a, b CallerSummary) int { return strings.Compare(a.Service, b.Service) })
 	return out
 }
 
-// callersSum accumulates the figures of one service.
-type callersSum struct {
-	Callers
+// callerTotals accumulates the figures of one service.
+type callerTotals struct {
+	CallerSummary
 	lateBy, waited []time.Duration
 }
 
-func (s *callersSum) add(l Line) {
+func (s *callerTotals) add(l Line) {
 	s.Asked++
 	returned := intField(l, "age_ms") > 0
 	switch l.Field("outcome") {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (s *callersSum) answered(l Line, returned bool) {
+func (s *callerTotals) answered(l Line, returned bool) {
 	if intField(l, log.FieldReason) >= minServerError {
 		s.Failed++
 		return
@@ -118,7 +118,7 @@
 	s.InTime++
 }
 
-func (s *callersSum) refused(after time.Duration, returned bool) {
+func (s *callerTotals) refused(after time.Duration, returned bool) {
 	if returned {
 		s.ReturnedRefused++
 	}
@@ -131,15 +131,15 @@
 	s.waited = append(s.waited, after)
 }
 
-func (s *callersSum) result() Callers {
+func (s *callerTotals) result() CallerSummary {
 	const half, most = 0.5, 0.99
 	s.LateBy = quantile(s.lateBy, half)
 	s.WaitedP99 = quantile(s.waited, most)
 	s.Worth = s.worth()
-	return s.Callers
+	return s.CallerSummary
 }
 
-func (s *callersSum) worth() float64 {
+func (s *callerTotals) worth() float64 {
 	sum := float64(s.InTime) + lateValue*float64(s.Late) - repeatRefusalCost*float64(s.ReturnedRefused)
 	for _, waited := range s.waited {
 		sum -= min(float64(waited)/float64(max(s.Target, 1)), 1)
--- a/modules/timeline/callers_test.go
+++ b/modules/timeline/callers_test.go
@@ -11,45 +11,45 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-func TestAccountOf(t *testing.T) {
+func TestSummarizeCallers(t *testing.T) {
 	const head = "time=2026-01-01T00:00:00Z msg=request_ended service=s "
 	cases := map[string]struct {
 		lines []string
-		want  Callers
+		want  CallerSummary
 	}{
 		"in time": {
 			lines: []string{"outcome=answered reason=200 first_ms=80 target_ms=1000"},
-			want:  Callers{Asked: 1, InTime: 1, Worth: 1},
+			want:  CallerSummary{Asked: 1, InTime: 1, Worth: 1},
 		},
 		"late, counted from the first try": {
 			lines: []string{"outcome=answered reason=200 first_ms=80 target_ms=1000 age_ms=4000"},
-			want:  Callers{Asked: 1, Late: 1, LateBy: 3080 * time.Millisecond, ReturnedServed: 1, Worth: 0.2},
+			want:  CallerSummary{Asked: 1, Late: 1, LateBy: 3080 * time.Millisecond, ReturnedServed: 1, Worth: 0.2},
 		},
 		"a repeated request in time": {
 			lines: []string{"outcome=answered reason=200 first_ms=80 target_ms=1000 age_ms=400"},
-			want:  Callers{Asked: 1, InTime: 1, ReturnedServed: 1, Worth: 1},
+			want:  CallerSummary{Asked: 1, InTime: 1, ReturnedServed: 1, Worth: 1},
 		},
 		"one refused at once, another served": {
 			lines: []string{"outcome=refused reason=full ms=12", "outcome=answered reason=200 first_ms=80 target_ms=1000"},
-			want:  Callers{Asked: 2, InTime: 1, RefusedAtOnce: 1, Worth: 0.5},
+			want:  CallerSummary{Asked: 2, InTime: 1, RefusedAtOnce: 1, Worth: 0.5},
 		},
 		"refused after waiting half a target": {
 			lines: []string{"outcome=refused reason=full ms=500", "outcome=answered reason=200 first_ms=80 target_ms=1000"},
-			want: Callers{
+			want: CallerSummary{
 				Asked: 2, InTime: 1, RefusedWaiting: 1, Worth: 0.25,
 				WaitedInVain: 500 * time.Millisecond, WaitedP99: 500 * time.Millisecond,
 			},
 		},
 		"a repeated request refused": {
 			lines: []string{"outcome=refused reason=full ms=12 age_ms=4000", "outcome=answered reason=200 first_ms=80 target_ms=1000"},
-			want:  Callers{Asked: 2, InTime: 1, RefusedAtOnce: 1, ReturnedRefused: 1, Worth: 0.35},
+			want:  CallerSummary{Asked: 2, InTime: 1, RefusedAtOnce: 1, ReturnedRefused: 1, Worth: 0.35},
 		},
 		"disconnected and failed": {
 			lines: []string{
 				"outcome=caller_gone reason=read runs=1", "outcome=caller_gone reason=read runs=0",
 				"outcome=broken reason=stream_cut", "outcome=answered reason=500 first_ms=80 target_ms=1000",
 			},
-			want: Callers{Asked: 4, Gone: 2, GoneRunning: 1, Failed: 2},
+			want: CallerSummary{Asked: 4, Gone: 2, GoneRunning: 1, Failed: 2},
 		},
 	}
 	for name, c := range cases {
@@ -61,7 +61,7 @@
 				}
 				lines, err := Read(strings.NewReader(text))
 				convey.So(err, convey.ShouldBeNil)
-				got := AccountOf(lines)
+				got := SummarizeCallers(lines)
 				convey.So(got, convey.ShouldHaveLength, 1)
 				c.want.Service, c.want.Target = "s", got[0].Target
 				convey.So(got[0].Worth, convey.ShouldAlmostEqual, c.want.Worth)
--- a/modules/timeline/timeline.go
+++ b/modules/timeline/timeline.go
@@ -67,10 +67,10 @@
 	return out, scanner.Err()
 }
 
-// Of returns the lines of one request out of all boxes' lines, sorted by time: its own
+// ForRequest returns the lines of one request out of all boxes' lines, sorted by time: its own
 // lines, those of the homes that were asked for it, and the state events of the boxes
 // involved around that time.
-func Of(request string, lines []Line) []Line {
+func ForRequest(request string, lines []Line) []Line {
 	asks := make(map[string]bool)
 	boxes := make(map[string]bool)
 	var own []Line
--- a/modules/timeline/timeline_test.go
+++ b/modules/timeline/timeline_test.go
@@ -26,14 +26,14 @@
 time="2026-01-01T00:00:09Z" level=info msg=members_changed box=two
 `
 
-func TestOf(t *testing.T) {
+func TestForRequest(t *testing.T) {
 	convey.Convey("The timeline of one request includes two boxes and is sorted", t, func() {
 		one, err := Read(strings.NewReader(boxOne))
 		convey.So(err, convey.ShouldBeNil)
 		two, err := Read(strings.NewReader(boxTwo))
 		convey.So(err, convey.ShouldBeNil)
 		var got []string
-		for _, l := range Of("r1", append(two, one...)) {
+		for _, l := range ForRequest("r1", append(two, one...)) {
 			got = append(got, l.Field("box")+" "+l.Field("msg"))
 		}
 		convey.So(got, convey.ShouldResemble, []string{
@@ -43,7 +43,7 @@
 	convey.Convey("A request that no line names has no timeline", t, func() {
 		lines, err := Read(strings.NewReader(boxOne))
 		convey.So(err, convey.ShouldBeNil)
-		convey.So(Of("r9", lines), convey.ShouldBeEmpty)
+		convey.So(ForRequest("r9", lines), convey.ShouldBeEmpty)
 	})
 	convey.Convey("Quoted values keep their spaces", t, func() {
 		l, ok := parse(`time="2026-01-01T00:00:02Z" msg=x error="a \"b\" c" request=r`)
