--- a/bench/soak/check/answers.go
+++ b/bench/soak/check/answers.go
@@ -11,63 +11,63 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// answer judges what one caller saw against what endpoints ran.
-func (j *judge) answer(a *Answer) {
-	runs := j.runs(a.ID)
+// checkAnswer compares what one caller saw with what endpoints ran.
+func (v *verifier) checkAnswer(a *Answer) {
+	runs := v.countRuns(a.ID)
 	if a.Status == http.StatusOK && a.Whole {
-		j.report.Note("whole_own_answer", a.Wrong == "", "%s at %s on %s: %s", a.ID, a.Box, a.Route, a.Wrong)
-		j.report.Note("answered_by_a_run", runs > 0, "%s at %s on %s was answered and never ran", a.ID, a.Box, a.Route)
+		v.report.Note("whole_own_answer", a.Wrong == "", "%s at %s on %s: %s", a.ID, a.Box, a.Route, a.Wrong)
+		v.report.Note("answered_by_a_run", runs > 0, "%s at %s on %s was answered and never ran", a.ID, a.Box, a.Route)
 	}
-	if refused(a.Status) {
-		j.report.Note("not_run_is_true", runs == 0, "%s at %s on %s got %d and ran %d times", a.ID, a.Box, a.Route, a.Status, runs)
+	if promisesNotRun(a.Status) {
+		v.report.Note("not_run_is_true", runs == 0, "%s at %s on %s got %d and ran %d times", a.ID, a.Box, a.Route, a.Status, runs)
 	}
 	if a.Status == http.StatusUnauthorized {
-		j.refusedKey(a)
+		v.checkRefusedKey(a)
 	}
 	name := "runs_bounded"
 	if a.MaxRuns == 1 {
 		name = "once_runs_once"
 	}
-	j.report.Note(name, runs <= a.MaxRuns, "%s at %s on %s ran %d times, allowed %d", a.ID, a.Box, a.Route, runs, a.MaxRuns)
+	v.report.Note(name, runs <= a.MaxRuns, "%s at %s on %s ran %d times, allowed %d", a.ID, a.Box, a.Route, runs, a.MaxRuns)
 	if a.Left {
-		j.gone(a)
+		v.checkAfterCallerLeft(a)
 		return
 	}
 	due := a.Begun.Add(a.Timeout)
-	if !j.struck(a.Box, "", a.Begun, due) {
+	if !v.faultOverlaps(a.Box, "", a.Begun, due) {
 		over := a.Ended.Sub(due)
-		j.report.Note("answered_in_time", over <= j.bounds.Answered, "%s at %s on %s ended %s after its time", a.ID, a.Box, a.Route, over)
+		v.report.Note("answered_in_time", over <= v.bounds.Answered, "%s at %s on %s ended %s after its time", a.ID, a.Box, a.Route, over)
 	}
 }
 
-// refusedKey judges that a key is refused only when it was withdrawn, or given out so
-// shortly before that its box need not know it.
-func (j *judge) refusedKey(a *Answer) {
-	for _, c := range j.Keys {
+// checkRefusedKey checks that a key was refused only if it was withdrawn, or issued so
+// recently that the box need not know it yet.
+func (v *verifier) checkRefusedKey(a *Answer) {
+	for _, c := range v.Keys {
 		if c.What == a.Key && c.At.Before(a.Ended) {
 			return
 		}
 	}
-	// A key that was not given out while callers came was there before.
-	given := a.Begun.Add(-forever)
-	for _, c := range j.Given {
+	// A key that was not issued during the run has existed since before its start.
+	issued := a.Begun.Add(-beforeRun)
+	for _, c := range v.Given {
 		if c.What == a.Key {
-			given = c.At
+			issued = c.At
 		}
 	}
-	heard, could := j.HeardSince(a.Box, given, a.Begun)
-	if could {
-		late := a.Begun.Sub(heard) - j.bounds.KeyGiven
-		j.report.Note("valid_key_is_taken", late <= 0, "%s at %s: a key of %s was refused at %s, %s after the bound",
-			a.ID, a.Box, given.Format(clock), a.Begun.Format(clock), late)
+	since, reachable := v.HeardSince(a.Box, issued, a.Begun)
+	if reachable {
+		late := a.Begun.Sub(since) - v.bounds.KeyGiven
+		v.report.Note("valid_key_is_taken", late <= 0, "%s at %s: a key of %s was refused at %s, %s after the bound",
+			a.ID, a.Box, issued.Format(timeFormat), a.Begun.Format(timeFormat), late)
 	}
 }
 
-// forever is longer than any run.
-const forever = 1000 * time.Hour
+// beforeRun is longer than any run.
+const beforeRun = 1000 * time.Hour
 
-// refused says whether a status promises that the request has not run.
-func refused(status int) bool {
+// promisesNotRun reports whether a status promises that the request has not run.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusUnauthorized, http.StatusNotFound,
 		http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -76,160 +76,162 @@
 	return false
 }
 
-// runs counts how often a request ran; reading its prompt alone is no run.
-func (j *judge) runs(id string) int {
+// countRuns returns how many times a request ran; a prefill alone doesn't count as a run.
+func (v *verifier) countRuns(id string) int {
 	count := 0
-	for _, i := range j.byID[id] {
-		if a := j.Sight.Arrivals[i]; a.Fate == standin.Ran && a.Step == standin.StepRun {
+	for _, i := range v.byID[id] {
+		if a := v.Sight.Arrivals[i]; a.Fate == standin.Ran && a.Step == standin.StepRun {
 			count++
 		}
 	}
 	return count
 }
 
-// gone judges that nothing goes on after a caller left.
-func (j *judge) gone(a *Answer) {
-	until := a.Ended.Add(j.bounds.Gone)
-	for _, i := range j.byID[a.ID] {
-		arrival := j.Sight.Arrivals[i]
-		if j.struck(a.Box, PlaceOf(arrival.Endpoint), a.Begun, until) {
+// checkAfterCallerLeft checks that no work for a request continues after its caller left.
+func (v *verifier) checkAfterCallerLeft(a *Answer) {
+	until := a.Ended.Add(v.bounds.Gone)
+	for _, i := range v.byID[a.ID] {
+		arrival := v.Sight.Arrivals[i]
+		if v.faultOverlaps(a.Box, PlaceOf(arrival.Endpoint), a.Begun, until) {
 			continue
 		}
 		ended := arrival.Ended
 		if ended.IsZero() {
-			ended = j.Ended
+			ended = v.Ended
 		}
 		late := max(arrival.At.Sub(a.Ended), ended.Sub(a.Ended))
-		j.report.Note("nothing_after_caller_left", late <= j.bounds.Gone,
+		v.report.Note("nothing_after_caller_left", late <= v.bounds.Gone,
 			"%s of %s was at %s %s after its caller left %s", a.ID, a.Box, arrival.Endpoint, late, a.Route)
 	}
 }
 
-// handles judges that every prefill result is fetched or freed.
-func (j *judge) handles() {
-	for _, h := range j.Sight.Handles {
-		to := h.Ended
-		if to.IsZero() {
-			to = j.Ended
+// checkPrefillResults checks that every prefill result is fetched or freed.
+func (v *verifier) checkPrefillResults() {
+	for _, h := range v.Sight.Handles {
+		end := h.Ended
+		if end.IsZero() {
+			end = v.Ended
 		}
-		if j.unheard(h) || h.End == standin.Gone || j.struck(boxOf(h.ID), PlaceOf(h.Endpoint), h.Made.Add(-Aftermath), to) {
+		if v.answerInTransit(h) || h.End == standin.Gone || v.faultOverlaps(boxOf(h.ID), PlaceOf(h.Endpoint), h.Made.Add(-Aftermath), end) {
 			continue
 		}
 		left := h.End == "" || h.End == standin.Lapsed
-		j.report.Note("no_handle_left", !left, "%s of %s at %s, made %s, was kept for %s and never fetched or freed",
-			h.Name, h.ID, h.Endpoint, h.Made.Format(clock), to.Sub(h.Made))
+		v.report.Note("no_handle_left", !left, "%s of %s at %s, made %s, was kept for %s and never fetched or freed",
+			h.Name, h.ID, h.Endpoint, h.Made.Format(timeFormat), end.Sub(h.Made))
 	}
 }
 
-// onItsWay is how long an answer, or the end of a connection, may be on its way: the
-// longest way and what a busy machine adds.
-const onItsWay = 150 * time.Millisecond
+// maxTransit is how long an answer, or the close of a connection, may be in transit: the
+// largest delay of a link plus what a busy machine adds.
+const maxTransit = 150 * time.Millisecond
 
-// unheard says that a prefill's answer was on its way when its caller left: its box
-// had closed the connection and never heard of the result, which lapses.
-func (j *judge) unheard(h standin.Handle) bool {
-	a := j.answers[h.ID]
-	return a != nil && a.Left && h.Made.After(a.Ended.Add(-onItsWay))
+// answerInTransit reports whether the answer of a prefill was in transit when its caller
+// left. Its box had then closed the connection and never learned of the result, which expires.
+func (v *verifier) answerInTransit(h standin.Handle) bool {
+	a := v.answers[h.ID]
+	return a != nil && a.Left && h.Made.After(a.Ended.Add(-maxTransit))
 }
 
-// clock is how times are told.
-const clock = "15:04:05.000"
+// timeFormat is the layout of times in details.
+const timeFormat = "15:04:05.000"
 
-// IDSeparator ends the box's name in the ids of requests.
+// IDSeparator ends the name of the box in a request id.
 const IDSeparator = "."
 
-// boxOf is the box whose caller sent a request.
+// boxOf returns the name of the box that received a request from its caller.
 func boxOf(id string) string {
 	box, _, _ := strings.Cut(id, IDSeparator)
 	return box
 }
 
-// orders judges that one box at a time orders an engine.
-func (j *judge) orders() {
+// checkOrders checks that only one box at a time sends orders to an engine: no fence
+// number is used by two boxes, and no two boxes alternate within a lease.
+func (v *verifier) checkOrders() {
 	byEndpoint := make(map[string][]standin.TakenOrder)
-	for _, o := range j.Sight.Orders {
+	for _, o := range v.Sight.Orders {
 		byEndpoint[o.Endpoint] = append(byEndpoint[o.Endpoint], o)
 	}
 	for endpoint, orders := range byEndpoint {
 		for i, o := range orders {
 			for _, before := range orders[:i] {
 				same := before.Holder == o.Holder || before.Fence != o.Fence
-				j.report.Note("one_orderer", same, "%s and %s ordered %s with fence %d", before.Holder, o.Holder, endpoint, o.Fence)
+				v.report.Note("one_orderer", same, "%s and %s ordered %s with fence %d", before.Holder, o.Holder, endpoint, o.Fence)
 			}
 			if i < 2 || orders[i-1].Holder == o.Holder {
 				continue
 			}
 			first := orders[i-2]
-			turns := first.Holder == o.Holder && o.At.Sub(first.At) < j.bounds.Lease
-			j.report.Note("one_orderer", !turns, "%s and %s took turns at %s within %s", o.Holder, orders[i-1].Holder, endpoint, o.At.Sub(first.At))
+			alternated := first.Holder == o.Holder && o.At.Sub(first.At) < v.bounds.Lease
+			v.report.Note("one_orderer", !alternated, "%s and %s took turns at %s within %s", o.Holder, orders[i-1].Holder, endpoint, o.At.Sub(first.At))
 		}
 	}
 }
 
-// changes judges that what was withdrawn, left or drained gets nothing more.
-func (j *judge) changes() {
-	for _, c := range j.Leaving {
-		j.nothingMore("leaving_gets_no_work", c, j.bounds.Leaving, func(a standin.Arrival) bool { return a.Endpoint == c.What })
+// checkChanges checks that withdrawn keys, leaving endpoints and drained zones get no more requests.
+func (v *verifier) checkChanges() {
+	for _, c := range v.Leaving {
+		v.checkNoArrivals("leaving_gets_no_work", c, v.bounds.Leaving, func(a standin.Arrival) bool { return a.Endpoint == c.What })
 	}
-	for _, c := range j.Drained {
-		j.nothingMore("drained_zone_gets_no_work", c, j.bounds.ZoneDrained, func(a standin.Arrival) bool { return a.Zone == c.What })
+	for _, c := range v.Drained {
+		v.checkNoArrivals("drained_zone_gets_no_work", c, v.bounds.ZoneDrained, func(a standin.Arrival) bool { return a.Zone == c.What })
 	}
-	for _, c := range j.Keys {
-		j.nothingMore("withdrawn_key_gets_nothing", c, j.bounds.KeyWithdrawn, func(a standin.Arrival) bool {
-			sent := j.answers[a.ID]
+	for _, c := range v.Keys {
+		v.checkNoArrivals("withdrawn_key_gets_nothing", c, v.bounds.KeyWithdrawn, func(a standin.Arrival) bool {
+			sent := v.answers[a.ID]
 			return sent != nil && sent.Key == c.What
 		})
 	}
 }
 
-// nothingMore judges the arrivals that a change concerns.
-func (j *judge) nothingMore(name string, c Change, bound time.Duration, concerns func(standin.Arrival) bool) {
-	j.report.Note(name, true, "")
-	for _, a := range j.Sight.Arrivals {
-		if a.Fate != standin.Misdirected && concerns(a) {
-			j.inForce(name, c, a, bound)
+// checkNoArrivals checks all arrivals to which a change applies.
+func (v *verifier) checkNoArrivals(name string, c Change, bound time.Duration, applies func(standin.Arrival) bool) {
+	v.report.Note(name, true, "")
+	for _, a := range v.Sight.Arrivals {
+		if a.Fate != standin.Misdirected && applies(a) {
+			v.checkArrival(name, c, a, bound)
 		}
 	}
 }
 
-// inForce judges one arrival against a change.
-func (j *judge) inForce(name string, c Change, a standin.Arrival, bound time.Duration) {
+// checkArrival checks that an arrival came before the bound by which a change must take
+// effect, or after the change was reverted.
+func (v *verifier) checkArrival(name string, c Change, a standin.Arrival, bound time.Duration) {
 	if a.At.Before(c.At) || (!c.Undone.IsZero() && !a.At.Before(c.Undone)) {
 		return
 	}
-	heard, could := j.HeardSince(boxOf(a.ID), c.At, a.At)
-	if !could {
+	since, reachable := v.HeardSince(boxOf(a.ID), c.At, a.At)
+	if !reachable {
 		return
 	}
-	late := a.At.Sub(heard) - bound
-	j.report.Note(name, late <= 0, "%s reached %s %s after the bound of %s for %s of %s",
-		a.ID, a.Endpoint, late, bound, c.What, c.At.Format(clock))
+	late := a.At.Sub(since) - bound
+	v.report.Note(name, late <= 0, "%s reached %s %s after the bound of %s for %s of %s",
+		a.ID, a.Endpoint, late, bound, c.What, c.At.Format(timeFormat))
 }
 
-// regions judges that a request is served only where its route and its account may
-// be.
-func (j *judge) regions() {
-	if len(j.Allowed) == 0 {
+// checkRegions checks that a request is served only in zones that its route and its account
+// allow.
+func (v *verifier) checkRegions() {
+	if len(v.Allowed) == 0 {
 		return
 	}
-	for _, a := range j.Sight.Arrivals {
+	for _, a := range v.Sight.Arrivals {
 		if a.Fate == standin.Misdirected {
 			continue
 		}
 		names := []string{a.Account}
-		if sent := j.answers[a.ID]; sent != nil {
+		if sent := v.answers[a.ID]; sent != nil {
 			names = append(names, sent.Route)
 		}
 		for _, name := range names {
-			zones, bound := j.Allowed[name]
-			if !bound {
+			zones, limited := v.Allowed[name]
+			if !limited {
 				continue
 			}
 			allowed := false
 			for _, z := range zones {
 				allowed = allowed || z == a.Zone
 			}
-			j.report.Note("allowed_regions", allowed, "%s of %s reached %s in %s", a.ID, name, a.Endpoint, a.Zone)
+			v.report.Note("allowed_regions", allowed, "%s of %s reached %s in %s", a.ID, name, a.Endpoint, a.Zone)
 		}
 	}
 }
--- a/bench/soak/check/check.go
+++ b/bench/soak/check/check.go
@@ -10,55 +10,55 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// Answer is what one caller saw of one request.
+// Answer records the outcome of one request as its caller saw it.
 type Answer struct {
 	ID, Box, Route, Key string
-	// MaxRuns is how often its route lets it run.
+	// MaxRuns is how many times its route allows the request to run.
 	MaxRuns int
 	Status  int
-	// Whole says that the answer came to the end that its framing asks for, and
-	// Wrong what is wrong with it; empty is nothing.
+	// Whole is true if the answer was complete according to its framing. Wrong
+	// describes what is wrong with its content, or is empty.
 	Whole bool
 	Wrong string
-	// Timeout is how long its route lets it take.
+	// Timeout is the time limit that its route sets for the request.
 	Timeout      time.Duration
 	Begun, Ended time.Time
-	// Left says that the caller gave up at Ended.
+	// Left is true if the caller gave up, at Ended.
 	Left bool
-	// Poison names the poison request that this is one try of; empty is none.
+	// Poison names the poison request that this is one attempt of, or is empty.
 	Poison string
-	// TakenForPoison says that its box refused it as a poison request.
+	// TakenForPoison is true if the box refused it as a poison request.
 	TakenForPoison bool
 }
 
-// Fault is one fault as it was brought about.
+// Fault is one fault as it was injected.
 type Fault struct {
 	Kind  string
 	Boxes []string
 	Place string
 	Store bool
-	// Machine says that the machine itself stood still, and with it every process.
+	// Machine is true if the whole machine stalled, and with it every process.
 	Machine  bool
 	From, To time.Time
 }
 
-// Change is an act of the operator that has to be in force within a bound.
+// Change is an operator action that must take effect within a bound.
 type Change struct {
-	// What is the key, zone or endpoint that gets nothing more.
+	// What is the key, zone or endpoint that must receive no more requests.
 	What string
 	At   time.Time
-	// Undone is when it was taken back; zero is never.
+	// Undone is when the action was reverted; zero if it never was.
 	Undone time.Time
 }
 
-// Quota is what an account may use from a time on.
+// Quota is the quota of an account from a time on.
 type Quota struct {
 	Account     string
 	Rate, Burst float64
 	From        time.Time
 }
 
-// Bounds are those of the platform's pages.
+// Bounds holds the limits and deadlines that the platform's specification sets.
 type Bounds struct {
 	Gone, Leaving, KeyWithdrawn, KeyGiven, ZoneDrained, Answered time.Duration
 	QuotaWindow                                                  time.Duration
@@ -66,28 +66,28 @@
 	RetryWindow                                                  time.Duration
 	RetryRatio, RetrySlack                                       float64
 	Lease                                                        time.Duration
-	// Contact is within what time boxes know of each other what they have to know.
+	// Contact is the time within which boxes must learn from each other what they need.
 	Contact                          time.Duration
 	ColdPace, ColdOverage, ColdSlack float64
 }
 
-// Record is what there is to judge of a run.
+// Record holds everything observed during a run.
 type Record struct {
 	Answers []Answer
 	Sight   standin.Sight
 	Faults  []Fault
-	// Keys, Leaving and Drained are what was withdrawn, left and drained, and Given
-	// the keys that were given out while callers came.
+	// Keys are the withdrawn keys, Leaving the endpoints that left, Drained the drained
+	// zones, and Given the keys that were issued while callers were sending.
 	Keys, Leaving, Drained, Given []Change
 	Quotas                        []Quota
-	// Allowed are the zones that may serve a route or an account; those that are not
-	// named may be served anywhere.
+	// Allowed lists the zones that may serve a route or an account, by its name. A route
+	// or account without an entry may be served in any zone.
 	Allowed map[string][]string
 	Ended   time.Time
 }
 
-// judge is one judgement under way.
-type judge struct {
+// verifier checks one record.
+type verifier struct {
 	Record
 	bounds  Bounds
 	report  *Report
@@ -95,30 +95,31 @@
 	answers map[string]*Answer
 }
 
-// Judge compares what callers saw with what endpoints saw.
+// Judge checks a record against every promise, by comparing what callers saw with what
+// endpoints saw, and counts the trials and violations in the report.
 func Judge(r Record, b Bounds, report *Report) {
-	j := &judge{Record: r, bounds: b, report: report, byID: make(map[string][]int), answers: make(map[string]*Answer)}
-	slices.SortStableFunc(j.Sight.Arrivals, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
-	for i, a := range j.Sight.Arrivals {
-		j.byID[a.ID] = append(j.byID[a.ID], i)
+	v := &verifier{Record: r, bounds: b, report: report, byID: make(map[string][]int), answers: make(map[string]*Answer)}
+	slices.SortStableFunc(v.Sight.Arrivals, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
+	for i, a := range v.Sight.Arrivals {
+		v.byID[a.ID] = append(v.byID[a.ID], i)
 	}
-	for i := range j.Answers {
-		j.answers[j.Answers[i].ID] = &j.Answers[i]
-		j.answer(&j.Answers[i])
+	for i := range v.Answers {
+		v.answers[v.Answers[i].ID] = &v.Answers[i]
+		v.checkAnswer(&v.Answers[i])
 	}
-	j.handles()
-	j.orders()
-	j.quotas()
-	j.retries()
-	j.poison()
-	j.changes()
-	j.regions()
-	j.cold()
-	j.limits()
-	j.closed()
+	v.checkPrefillResults()
+	v.checkOrders()
+	v.checkQuotas()
+	v.checkRetries()
+	v.checkPoison()
+	v.checkChanges()
+	v.checkRegions()
+	v.checkColdPace()
+	v.checkLimits()
+	v.checkClosed()
 }
 
-// PlaceOf is the place of an endpoint: its id without the number of its start.
+// PlaceOf returns the place of an endpoint: its id without the trailing start number.
 func PlaceOf(endpoint string) string {
 	for i := len(endpoint) - 1; i > 0; i-- {
 		if endpoint[i] == '-' {
@@ -128,38 +129,39 @@
 	return endpoint
 }
 
-// Aftermath is how long after a fault its effects are still put down to it: beliefs
-// and connections of the time before are given up within it.
+// Aftermath is how long after the end of a fault its effects are still attributed to it.
+// Within this time boxes discard state and connections from before the end.
 const Aftermath = 2 * time.Second
 
-// struck says whether a fault touched a box or a place in a span of time.
-func (j *judge) struck(box, place string, from, to time.Time) bool {
-	return slices.ContainsFunc(j.Faults, func(f Fault) bool {
-		touches := f.Machine || slices.Contains(f.Boxes, box) || (place != "" && f.Place == place)
-		return touches && f.From.Before(to) && f.To.Add(Aftermath).After(from)
+// faultOverlaps reports whether a fault, or its aftermath, affected a box or a place
+// between two times.
+func (v *verifier) faultOverlaps(box, place string, from, to time.Time) bool {
+	return slices.ContainsFunc(v.Faults, func(f Fault) bool {
+		affects := f.Machine || slices.Contains(f.Boxes, box) || (place != "" && f.Place == place)
+		return affects && f.From.Before(to) && f.To.Add(Aftermath).After(from)
 	})
 }
 
-// Stalled says whether the machine stood still at some moment of a span.
+// Stalled reports whether the machine stalled at some moment between two times.
 func (r *Record) Stalled(from, to time.Time) bool {
 	return slices.ContainsFunc(r.Faults, func(f Fault) bool { return f.Machine && f.From.Before(to) && f.To.After(from) })
 }
 
-// HeardSince is from when on a box could have known of what was accepted at a time:
-// the end of the faults that kept it, and the store, from others. It reports false
-// if one lasts at the time of asking.
+// HeardSince returns the time from which on a box could have known of a change that was
+// accepted at a given time: the end of the last fault that affected the box, the store or the
+// whole machine. It returns false if such a fault still lasts at the time asked.
 func (r *Record) HeardSince(box string, accepted, asked time.Time) (time.Time, bool) {
-	for again := true; again; {
-		again = false
+	for extended := true; extended; {
+		extended = false
 		for _, f := range r.Faults {
-			keeps := f.Store || f.Machine || slices.Contains(f.Boxes, box)
-			if !keeps || f.From.After(asked) || !f.To.After(accepted) {
+			blocks := f.Store || f.Machine || slices.Contains(f.Boxes, box)
+			if !blocks || f.From.After(asked) || !f.To.After(accepted) {
 				continue
 			}
 			if f.To.After(asked) {
 				return accepted, false
 			}
-			accepted, again = f.To, true
+			accepted, extended = f.To, true
 		}
 	}
 	return accepted, true
--- a/bench/soak/check/check_test.go
+++ b/bench/soak/check/check_test.go
@@ -14,11 +14,11 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-var begun = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func at(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
+func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// bounds are like those of the pages.
+// bounds returns bounds like those of the platform's specification.
 func bounds() Bounds {
 	return Bounds{
 		Gone: 500 * time.Millisecond, Leaving: 3 * time.Second, KeyWithdrawn: 5 * time.Second, KeyGiven: 3 * time.Second, ZoneDrained: 5 * time.Second,
@@ -29,38 +29,39 @@
 	}
 }
 
-// ran is a run of a request, 50 ms long.
-func ran(id string, from int) standin.Arrival {
+// runArrival returns a run of a request that starts at a time in ms and takes 50 ms.
+func runArrival(id string, from int) standin.Arrival {
 	return standin.Arrival{
 		ID: id, Endpoint: "plain1-1", Service: "plain", Zone: "zone-a", Step: standin.StepRun, Fate: standin.Ran,
 		At: at(from), Ended: at(from + 50),
 	}
 }
 
-// good is an answer of a request that ran from 10 ms on.
-func good() Answer {
+// goodAnswer returns an answer, at 70 ms, to a request sent at 0 ms that breaks no promise.
+func goodAnswer() Answer {
 	return Answer{
 		ID: id, Box: "box-1", Route: "unsafe", Key: "key", MaxRuns: 1, Status: http.StatusOK, Whole: true,
 		Timeout: time.Second, Begun: at(0), Ended: at(70),
 	}
 }
 
-// many are runs of so many requests, 10 ms apart.
-func many(count int, change func(*standin.Arrival)) []standin.Arrival {
+// arrivals returns runs of count requests, 10 ms apart, each modified by change.
+func arrivals(count int, change func(*standin.Arrival)) []standin.Arrival {
 	var out []standin.Arrival
 	for i := range count {
-		a := ran(fmt.Sprintf("box-1.%d", i), i*10)
+		a := runArrival(fmt.Sprintf("box-1.%d", i), i*10)
 		change(&a)
 		out = append(out, a)
 	}
 	return out
 }
 
-// poisoned are a poison request's tries at times, which all ran and had no answer.
-func poisoned(times ...int) Record {
+// poisonRecord returns a record of attempts of a poison request at times in ms, which all ran
+// and got no answer.
+func poisonRecord(times ...int) Record {
 	var out Record
 	for i, from := range times {
-		a := ran(fmt.Sprintf("box-1.poison-%d", i), from)
+		a := runArrival(fmt.Sprintf("box-1.poison-%d", i), from)
 		out.Sight.Arrivals = append(out.Sight.Arrivals, a)
 		out.Answers = append(out.Answers, Answer{
 			ID: a.ID, Box: "box-1", Route: "safe", Poison: "poison", MaxRuns: 2, Timeout: time.Second, Begun: a.At, Ended: a.Ended,
@@ -69,8 +70,8 @@
 	return out
 }
 
-// besides adds a fault to a record.
-func besides(r Record, f Fault) Record {
+// withFault returns a record with a fault added.
+func withFault(r Record, f Fault) Record {
 	r.Faults = append(r.Faults, f)
 	return r
 }
@@ -79,14 +80,14 @@
 
 func TestJudge(t *testing.T) {
 	with := func(change func(*Answer)) []Answer {
-		a := good()
+		a := goodAnswer()
 		change(&a)
 		return []Answer{a}
 	}
 	leftAt := func(ms int) []Answer {
 		return with(func(a *Answer) { a.Left, a.Whole, a.Status, a.Ended = true, false, 0, at(ms) })
 	}
-	long := ran(id, 10)
+	long := runArrival(id, 10)
 	long.Ended = at(900)
 	prefill := standin.Arrival{ID: id, Endpoint: "model1-1", Step: standin.StepPrefill, Fate: standin.Ran, At: at(1), Ended: at(9)}
 	handle := standin.Handle{Name: "h", Endpoint: "model1-1", ID: id, Made: at(9), Ended: at(5009), End: standin.Lapsed}
@@ -100,45 +101,45 @@
 		record Record
 		broken string
 	}{
-		"all is well":                {Record{Answers: []Answer{good()}, Sight: standin.Sight{Arrivals: []standin.Arrival{prefill, ran(id, 10)}}}, ""},
-		"another's answer":           {Record{Answers: with(func(a *Answer) { a.Wrong = "x" }), Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 10)}}}, "whole_own_answer"},
-		"answered without a run":     {Record{Answers: []Answer{good()}}, "answered_by_a_run"},
-		"refused and ran":            {Record{Answers: with(func(a *Answer) { a.Status = 503 }), Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 10)}}}, "not_run_is_true"},
-		"refused with a prompt read": {Record{Answers: with(func(a *Answer) { a.Status = 503 }), Sight: standin.Sight{Arrivals: []standin.Arrival{prefill}}}, ""},
-		"ran twice":                  {Record{Answers: []Answer{good()}, Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 10), ran(id, 20)}}}, "once_runs_once"},
-		"ran three times":            {Record{Answers: with(func(a *Answer) { a.MaxRuns = 2 }), Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 10), ran(id, 20), ran(id, 30)}}}, "runs_bounded"},
-		"late":                       {Record{Answers: with(func(a *Answer) { a.Ended = at(1600) }), Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 10)}}}, "answered_in_time"},
-		"works on after its caller":  {Record{Answers: leftAt(300), Sight: standin.Sight{Arrivals: []standin.Arrival{long}}}, "nothing_after_caller_left"},
-		"ends soon after its caller": {Record{Answers: leftAt(500), Sight: standin.Sight{Arrivals: []standin.Arrival{long}}}, ""},
-		"works on beside a fault": {Record{
+		"no violation":                {Record{Answers: []Answer{goodAnswer()}, Sight: standin.Sight{Arrivals: []standin.Arrival{prefill, runArrival(id, 10)}}}, ""},
+		"another's answer":            {Record{Answers: with(func(a *Answer) { a.Wrong = "x" }), Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}}}, "whole_own_answer"},
+		"answered without a run":      {Record{Answers: []Answer{goodAnswer()}}, "answered_by_a_run"},
+		"refused and ran":             {Record{Answers: with(func(a *Answer) { a.Status = 503 }), Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}}}, "not_run_is_true"},
+		"refused with a prompt read":  {Record{Answers: with(func(a *Answer) { a.Status = 503 }), Sight: standin.Sight{Arrivals: []standin.Arrival{prefill}}}, ""},
+		"ran twice":                   {Record{Answers: []Answer{goodAnswer()}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10), runArrival(id, 20)}}}, "once_runs_once"},
+		"ran three times":             {Record{Answers: with(func(a *Answer) { a.MaxRuns = 2 }), Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10), runArrival(id, 20), runArrival(id, 30)}}}, "runs_bounded"},
+		"late":                        {Record{Answers: with(func(a *Answer) { a.Ended = at(1600) }), Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}}}, "answered_in_time"},
+		"work continues after caller": {Record{Answers: leftAt(300), Sight: standin.Sight{Arrivals: []standin.Arrival{long}}}, "nothing_after_caller_left"},
+		"ends soon after caller":      {Record{Answers: leftAt(500), Sight: standin.Sight{Arrivals: []standin.Arrival{long}}}, ""},
+		"work continues during fault": {Record{
 			Answers: leftAt(300), Sight: standin.Sight{Arrivals: []standin.Arrival{long}},
 			Faults: []Fault{{Boxes: []string{"box-1"}, From: at(0), To: at(400)}},
 		}, ""},
-		"handle left":             {Record{Answers: []Answer{good()}, Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 10)}, Handles: []standin.Handle{handle}}}, "no_handle_left"},
-		"handle never heard of":   {Record{Answers: leftAt(5), Sight: standin.Sight{Handles: []standin.Handle{handle}}}, ""},
-		"two orderers, one fence": {Record{Sight: standin.Sight{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 1, 9000)}}}, "one_orderer"},
-		"orderers in turns":       {Record{Sight: standin.Sight{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 2, 100), order("a", 3, 2000)}}}, "one_orderer"},
-		"orderers far apart":      {Record{Sight: standin.Sight{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 2, 100), order("a", 3, 4000)}}}, ""},
-		"quota kept":              {Record{Quotas: quota, Sight: standin.Sight{Arrivals: many(119, limited)}}, ""},
-		"quota lent twice":        {Record{Quotas: quota, Sight: standin.Sight{Arrivals: many(120, limited)}}, "quota"},
-		"cold pace kept":          {Record{Sight: standin.Sight{Arrivals: many(20, cold)}}, ""},
-		"cold endpoint flooded":   {Record{Sight: standin.Sight{Arrivals: many(21, cold)}}, "cold_pace"},
-		"retries":                 {Record{Sight: standin.Sight{Arrivals: many(4, func(a *standin.Arrival) { a.ID = id; a.Fate = standin.TurnedAway })}}, "retry_budget"},
+		"handle left":              {Record{Answers: []Answer{goodAnswer()}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}, Handles: []standin.Handle{handle}}}, "no_handle_left"},
+		"handle answer in transit": {Record{Answers: leftAt(5), Sight: standin.Sight{Handles: []standin.Handle{handle}}}, ""},
+		"two boxes, one fence":     {Record{Sight: standin.Sight{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 1, 9000)}}}, "one_orderer"},
+		"boxes alternate":          {Record{Sight: standin.Sight{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 2, 100), order("a", 3, 2000)}}}, "one_orderer"},
+		"boxes alternate slowly":   {Record{Sight: standin.Sight{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 2, 100), order("a", 3, 4000)}}}, ""},
+		"quota kept":               {Record{Quotas: quota, Sight: standin.Sight{Arrivals: arrivals(119, limited)}}, ""},
+		"quota granted twice":      {Record{Quotas: quota, Sight: standin.Sight{Arrivals: arrivals(120, limited)}}, "quota"},
+		"cold pace kept":           {Record{Sight: standin.Sight{Arrivals: arrivals(20, cold)}}, ""},
+		"cold pace exceeded":       {Record{Sight: standin.Sight{Arrivals: arrivals(21, cold)}}, "cold_pace"},
+		"retries":                  {Record{Sight: standin.Sight{Arrivals: arrivals(4, func(a *standin.Arrival) { a.ID = id; a.Fate = standin.TurnedAway })}}, "retry_budget"},
 		"leaving endpoint": {Record{
-			Leaving: []Change{{What: "plain1-1", At: at(0)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 3100)}},
+			Leaving: []Change{{What: "plain1-1", At: at(0)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 3100)}},
 		}, "leaving_gets_no_work"},
-		"leaving endpoint, store away": {Record{
-			Leaving: []Change{{What: "plain1-1", At: at(0)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 3100)}},
+		"leaving endpoint, store unavailable": {Record{
+			Leaving: []Change{{What: "plain1-1", At: at(0)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 3100)}},
 			Faults: []Fault{{Store: true, From: at(-100), To: at(300)}},
 		}, ""},
 		"zone drained late": {Record{
-			Drained: []Change{{What: "zone-a", At: at(0), Undone: at(9000)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 5100)}},
+			Drained: []Change{{What: "zone-a", At: at(0), Undone: at(9000)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 5100)}},
 		}, "drained_zone_gets_no_work"},
-		"zone taken back": {Record{
-			Drained: []Change{{What: "zone-a", At: at(0), Undone: at(9000)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 9000)}},
+		"zone drain ended": {Record{
+			Drained: []Change{{What: "zone-a", At: at(0), Undone: at(9000)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 9000)}},
 		}, ""},
 		"withdrawn key": {Record{
-			Answers: []Answer{good()}, Keys: []Change{{What: "key", At: at(-5000)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 10)}},
+			Answers: []Answer{goodAnswer()}, Keys: []Change{{What: "key", At: at(-5000)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}},
 		}, "withdrawn_key_gets_nothing"},
 		"valid key refused": {Record{
 			Answers: with(func(a *Answer) { a.Status = 401 }), Given: []Change{{What: "key", At: at(-9000)}},
@@ -150,14 +151,14 @@
 		"withdrawn key refused": {Record{
 			Answers: with(func(a *Answer) { a.Status = 401 }), Keys: []Change{{What: "key", At: at(-1000)}},
 		}, ""},
-		"poison kept out in time":     {poisoned(0, 100, 200, 300, 1000, 2000, 3200), ""},
-		"poison let in three times":   {poisoned(0, 100, 200, 3300, 4000, 5000), ""},
-		"poison let in four times":    {poisoned(0, 100, 200, 3300, 4000, 5000, 6000), "poison_contained"},
-		"poison at a box cut off":     {besides(poisoned(0, 100, 200, 3300, 4000, 5000, 6000), Fault{Boxes: []string{"box-1"}, From: at(3000), To: at(4000)}), ""},
-		"another taken for poison":    {Record{Answers: with(func(a *Answer) { a.Status, a.TakenForPoison = 503, true })}, "poison_spares_others"},
-		"poison taken for what it is": {Record{Answers: with(func(a *Answer) { a.Status, a.TakenForPoison, a.Poison = 503, true, "poison" })}, ""},
+		"poison rejected in time":          {poisonRecord(0, 100, 200, 300, 1000, 2000, 3200), ""},
+		"poison arrives three times":       {poisonRecord(0, 100, 200, 3300, 4000, 5000), ""},
+		"poison arrives four times":        {poisonRecord(0, 100, 200, 3300, 4000, 5000, 6000), "poison_contained"},
+		"poison at a box that was cut off": {withFault(poisonRecord(0, 100, 200, 3300, 4000, 5000, 6000), Fault{Boxes: []string{"box-1"}, From: at(3000), To: at(4000)}), ""},
+		"other request refused as poison":  {Record{Answers: with(func(a *Answer) { a.Status, a.TakenForPoison = 503, true })}, "poison_spares_others"},
+		"poison refused as poison":         {Record{Answers: with(func(a *Answer) { a.Status, a.TakenForPoison, a.Poison = 503, true, "poison" })}, ""},
 		"another region": {Record{
-			Answers: []Answer{good()}, Allowed: map[string][]string{"unsafe": {"zone-b"}}, Sight: standin.Sight{Arrivals: []standin.Arrival{ran(id, 10)}},
+			Answers: []Answer{goodAnswer()}, Allowed: map[string][]string{"unsafe": {"zone-b"}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}},
 		}, "allowed_regions"},
 	}
 	for name, c := range cases {
@@ -175,14 +176,14 @@
 	}
 }
 
-// closing are an answer of an endpoint that ends 50 ms after the start, and later requests of a box
-// to it.
-func closing(change func(a *standin.Arrival), later ...int) Record {
-	first := ran("box-1.0", 0)
+// closedRecord returns an answer of an endpoint that ends at 50 ms, modified by change, and later
+// requests of the same box to that endpoint, at times in ms.
+func closedRecord(change func(a *standin.Arrival), later ...int) Record {
+	first := runArrival("box-1.0", 0)
 	change(&first)
 	out := Record{Sight: standin.Sight{Arrivals: []standin.Arrival{first}}}
 	for i, ms := range later {
-		out.Sight.Arrivals = append(out.Sight.Arrivals, ran(fmt.Sprintf("box-1.%d", i+1), ms))
+		out.Sight.Arrivals = append(out.Sight.Arrivals, runArrival(fmt.Sprintf("box-1.%d", i+1), ms))
 	}
 	return out
 }
@@ -194,20 +195,20 @@
 		record Record
 		broken string
 	}{
-		"leaves, and gets some in time": {record: closing(leaves, 100, 3000)},
-		"leaves, and gets one later":    {record: closing(leaves, 100, 3100), broken: "said_it_leaves"},
-		"leaves, the box was struck":    {record: besides(closing(leaves, 3100), Fault{Boxes: []string{"box-1"}, From: at(1000), To: at(1500)})},
+		"leaves, requests within bound": {record: closedRecord(leaves, 100, 3000)},
+		"leaves, request after bound":   {record: closedRecord(leaves, 100, 3100), broken: "said_it_leaves"},
+		"leaves, fault at the box":      {record: withFault(closedRecord(leaves, 3100), Fault{Boxes: []string{"box-1"}, From: at(1000), To: at(1500)})},
 		"leaves, sent in time": {record: func() Record {
-			r := closing(leaves, 3100)
+			r := closedRecord(leaves, 3100)
 			r.Answers = []Answer{{ID: "box-1.1", Box: "box-1", Begun: at(3000), Ended: at(3200), Status: 200, Whole: true, MaxRuns: 1, Timeout: 5 * time.Second}}
 			return r
 		}()},
-		"leaves, another box sends":       {record: func() Record { r := closing(leaves, 3100); r.Sight.Arrivals[1].ID = "box-2.1"; return r }()},
-		"rests, and gets what was coming": {record: closing(rests, 60, 100, 300, 540)},
-		"rests, and gets two":             {record: closing(rests, 600, 700)},
-		"rests, and gets three":           {record: closing(rests, 600, 700, 2000), broken: "rest"},
-		"has rested":                      {record: closing(rests, 600, 700, 2060)},
-		"rests, the box was struck":       {record: besides(closing(rests, 600, 700, 2000), Fault{Boxes: []string{"box-1"}, From: at(500), To: at(550)})},
+		"leaves, another box sends": {record: func() Record { r := closedRecord(leaves, 3100); r.Sight.Arrivals[1].ID = "box-2.1"; return r }()},
+		"rests, requests in flight": {record: closedRecord(rests, 60, 100, 300, 540)},
+		"rests, two requests":       {record: closedRecord(rests, 600, 700)},
+		"rests, three requests":     {record: closedRecord(rests, 600, 700, 2000), broken: "rest"},
+		"rest has ended":            {record: closedRecord(rests, 600, 700, 2060)},
+		"rests, fault at the box":   {record: withFault(closedRecord(rests, 600, 700, 2000), Fault{Boxes: []string{"box-1"}, From: at(500), To: at(550)})},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -223,10 +224,10 @@
 	}
 }
 
-// named are runs of so many requests of a box, 40 ms apart, at an endpoint that names a limit.
-func named(count int, limit float64) Record {
-	return Record{Ended: at(60_000), Sight: standin.Sight{Arrivals: many(count, func(a *standin.Arrival) {
-		a.At = begun.Add(4 * a.At.Sub(begun))
+// limitRecord returns runs of count requests of a box, 40 ms apart, at an endpoint that names a limit.
+func limitRecord(count int, limit float64) Record {
+	return Record{Ended: at(60_000), Sight: standin.Sight{Arrivals: arrivals(count, func(a *standin.Arrival) {
+		a.At = start.Add(4 * a.At.Sub(start))
 		a.Ended, a.Limit = a.At.Add(5*time.Millisecond), limit
 	})}}
 }
@@ -236,12 +237,12 @@
 		record Record
 		broken bool
 	}{
-		"far more than the limit":   {record: named(250, 2), broken: true},
-		"as many as it allows":      {record: named(250, 16)},
-		"before boxes have to know": {record: named(75, 2)},
-		"no limit":                  {record: named(250, 0)},
-		"a box that was struck": {record: func() Record {
-			r := named(250, 2)
+		"far more than the limit":   {record: limitRecord(250, 2), broken: true},
+		"as many as it allows":      {record: limitRecord(250, 16)},
+		"before boxes have to know": {record: limitRecord(75, 2)},
+		"no limit":                  {record: limitRecord(250, 0)},
+		"fault at the box": {record: func() Record {
+			r := limitRecord(250, 2)
 			r.Faults = []Fault{{Boxes: []string{"box-1"}, From: at(0), To: at(9000)}}
 			return r
 		}()},
--- a/bench/soak/check/poison.go
+++ b/bench/soak/check/poison.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	// endsToKnow is how many endpoints a poison request ends until boxes have to know it,
-	// and mostAfter how often it may arrive once they do, by the platform's pages.
-	endsToKnow = 3
-	mostAfter  = 3
+	// By the platform's specification, boxes must know a poison request once it has ended
+	// poisonThreshold endpoints; after that it may arrive maxKnownArrivals times.
+	poisonThreshold  = 3
+	maxKnownArrivals = 3
 )
 
-// poison judges that boxes which heard of it keep a poison request from the endpoints, and
-// that they take no other request for one.
-func (j *judge) poison() {
-	tries := make(map[string][]standin.Arrival)
-	for _, a := range j.Answers {
+// checkPoison checks that boxes that must know a poison request keep it from the endpoints, and
+// that they refuse no other request as poison.
+func (v *verifier) checkPoison() {
+	arrivalsOf := make(map[string][]standin.Arrival)
+	for _, a := range v.Answers {
 		if a.Poison == "" {
-			j.report.Note("poison_spares_others", !a.TakenForPoison, "%s at %s on %s was refused as a poison request", a.ID, a.Box, a.Route)
+			v.report.Note("poison_spares_others", !a.TakenForPoison, "%s at %s on %s was refused as a poison request", a.ID, a.Box, a.Route)
 			continue
 		}
-		for _, i := range j.byID[a.ID] {
-			tries[a.Poison] = append(tries[a.Poison], j.Sight.Arrivals[i])
+		for _, i := range v.byID[a.ID] {
+			arrivalsOf[a.Poison] = append(arrivalsOf[a.Poison], v.Sight.Arrivals[i])
 		}
 	}
-	for name, arrivals := range tries {
+	for name, arrivals := range arrivalsOf {
 		slices.SortFunc(arrivals, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
-		known, ends := j.knownFrom(arrivals)
+		known, ends := v.poisonKnownFrom(arrivals)
 		late := 0
 		for _, a := range arrivals {
-			if a.At.After(known) && a.Fate != standin.Misdirected && !j.struck(boxOf(a.ID), "", a.At.Add(-j.bounds.Contact), a.At) {
+			if a.At.After(known) && a.Fate != standin.Misdirected && !v.faultOverlaps(boxOf(a.ID), "", a.At.Add(-v.bounds.Contact), a.At) {
 				late++
 			}
 		}
-		j.report.Note("poison_contained", late <= mostAfter, "%s ended %d endpoints, and arrived %d times after %s, when all had to know it",
-			name, ends, late, known.Format(clock))
+		v.report.Note("poison_contained", late <= maxKnownArrivals, "%s ended %d endpoints, and arrived %d times after %s, when all had to know it",
+			name, ends, late, known.Format(timeFormat))
 	}
 }
 
-// knownFrom is when boxes have to know a poison request by its arrivals, which are sorted, and
-// how many endpoints it has ended in all.
-func (j *judge) knownFrom(arrivals []standin.Arrival) (known time.Time, ends int) {
-	known = j.Ended
+// poisonKnownFrom returns the time from which on boxes must know a poison request, given its
+// sorted arrivals, and how many endpoints it ended in all.
+func (v *verifier) poisonKnownFrom(arrivals []standin.Arrival) (known time.Time, ends int) {
+	known = v.Ended
 	for _, a := range arrivals {
 		if a.Fate != standin.Ran || a.Step != standin.StepRun {
 			continue
 		}
 		ends++
-		if ends == endsToKnow {
-			known = a.Ended.Add(j.bounds.Contact)
+		if ends == poisonThreshold {
+			known = a.Ended.Add(v.bounds.Contact)
 		}
 	}
 	return known, ends
--- a/bench/soak/check/report.go
+++ b/bench/soak/check/report.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package check judges a run by what callers and endpoints saw of it.
+// Package check verifies the promises of the router from what callers and endpoints observed
+// during a soak run.
 package check
 
 import (
@@ -14,23 +15,24 @@
 	"sync"
 )
 
-// Promise is how often one promise was tried and broken.
+// Promise counts how often one promise was checked and how often it was violated.
 type Promise struct {
 	Trials, Violations int
-	// Details tell of the first violations.
+	// Details describe the first violations.
 	Details []string
 }
 
-// maxDetails bounds what is kept of a promise's violations.
+// maxDetails is the number of violations of a promise whose details are kept.
 const maxDetails = 20
 
-// Report counts trials of promises; its zero value is empty.
+// Report counts trials and violations by promise. Its zero value is an empty report.
 type Report struct {
 	mutex    sync.Mutex
 	promises map[string]*Promise
 }
 
-// Note counts one trial; the detail is told where the promise was broken.
+// Note counts one trial of a promise. If it was not kept, it counts a violation too and
+// formats a detail of it.
 func (r *Report) Note(name string, kept bool, format string, args ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -52,23 +54,23 @@
 	}
 }
 
-// Trials and Violations are sums over all promises.
+// Trials returns the number of trials of all promises.
 func (r *Report) Trials() int { return r.sum(func(p *Promise) int { return p.Trials }) }
 
-// Violations is how many trials broke a promise.
+// Violations returns the number of trials that violated a promise.
 func (r *Report) Violations() int { return r.sum(func(p *Promise) int { return p.Violations }) }
 
-func (r *Report) sum(of func(*Promise) int) int {
+func (r *Report) sum(count func(*Promise) int) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	total := 0
 	for _, p := range r.promises {
-		total += of(p)
+		total += count(p)
 	}
 	return total
 }
 
-// Broken counts the violations of one promise.
+// Broken returns the number of violations of one promise.
 func (r *Report) Broken(name string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -78,7 +80,7 @@
 	return 0
 }
 
-// Print writes a line for each promise, and one for each violation that is kept.
+// Print writes a line for each promise and a line for each violation whose detail was kept.
 func (r *Report) Print(w io.Writer) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -91,7 +93,7 @@
 	}
 }
 
-// PrintCounts writes a line of counts by name, with their sum.
+// PrintCounts writes one line with the sum of counts, then each count by its name.
 func PrintCounts[K cmp.Ordered](w io.Writer, what string, counts map[K]int) {
 	total := 0
 	var each strings.Builder
--- a/bench/soak/check/windows.go
+++ b/bench/soak/check/windows.go
@@ -10,15 +10,15 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// quotas judges each account's use over all boxes, in every window.
-func (j *judge) quotas() {
+// checkQuotas checks the use of each account, summed over all boxes, in every window.
+func (v *verifier) checkQuotas() {
 	quotas := make(map[string][]Quota)
-	for _, q := range j.Quotas {
+	for _, q := range v.Quotas {
 		quotas[q.Account] = append(quotas[q.Account], q)
 	}
 	used := make(map[string][]time.Time)
 	counted := make(map[string]bool)
-	for _, a := range j.Sight.Arrivals {
+	for _, a := range v.Sight.Arrivals {
 		if len(quotas[a.Account]) == 0 || a.Fate != standin.Ran || counted[a.ID] {
 			continue
 		}
@@ -26,27 +26,27 @@
 		used[a.Account] = append(used[a.Account], a.At)
 	}
 	for account, times := range used {
-		sliding(times, j.bounds.QuotaWindow, func(at time.Time, count int) {
-			q := j.highest(quotas[account], at.Add(-j.bounds.QuotaWindow), at)
-			most := (q.Rate*j.bounds.QuotaWindow.Seconds()+q.Burst)*(1+j.bounds.QuotaOverage) + j.bounds.QuotaSlack
-			j.report.Note("quota", float64(count) <= most, "%s used %d of %.0f in the window up to %s", account, count, most, at.Format(clock))
+		forEachWindow(times, v.bounds.QuotaWindow, func(at time.Time, count int) {
+			q := v.highestQuota(quotas[account], at.Add(-v.bounds.QuotaWindow), at)
+			limit := (q.Rate*v.bounds.QuotaWindow.Seconds()+q.Burst)*(1+v.bounds.QuotaOverage) + v.bounds.QuotaSlack
+			v.report.Note("quota", float64(count) <= limit, "%s used %d of %.0f in the window up to %s", account, count, limit, at.Format(timeFormat))
 		})
 	}
 }
 
-// highest is the highest quota of a span; one that was lowered binds a window after
-// every box that is there could know it.
-func (j *judge) highest(quotas []Quota, from, to time.Time) Quota {
-	from = from.Add(-j.bounds.KeyWithdrawn)
-	for _, f := range j.Faults {
+// highestQuota returns the highest quota that may still apply between two times. A lowered
+// quota is enforced only in windows that begin after every reachable box could know it.
+func (v *verifier) highestQuota(quotas []Quota, from, to time.Time) Quota {
+	from = from.Add(-v.bounds.KeyWithdrawn)
+	for _, f := range v.Faults {
 		if f.To.After(from) && f.From.Before(to) {
-			from = minTime(from, f.From.Add(-j.bounds.KeyWithdrawn))
+			from = minTime(from, f.From.Add(-v.bounds.KeyWithdrawn))
 		}
 	}
 	var out Quota
 	for i, q := range quotas {
-		over := i+1 < len(quotas) && quotas[i+1].From.Before(from)
-		if !over && q.From.Before(to) && q.Rate > out.Rate {
+		superseded := i+1 < len(quotas) && quotas[i+1].From.Before(from)
+		if !superseded && q.From.Before(to) && q.Rate > out.Rate {
 			out = q
 		}
 	}
@@ -60,8 +60,8 @@
 	return b
 }
 
-// sliding tells for each time how many there are in the window that it ends.
-func sliding(times []time.Time, window time.Duration, each func(at time.Time, count int)) {
+// forEachWindow sorts times and calls each with the count in the window that ends at each of them.
+func forEachWindow(times []time.Time, window time.Duration, each func(at time.Time, count int)) {
 	slices.SortFunc(times, time.Time.Compare)
 	first := 0
 	for i, at := range times {
@@ -72,9 +72,10 @@
 	}
 }
 
-// retries judges the further arrivals at each service, over all boxes.
-func (j *judge) retries() {
-	type counts struct{ asked, further []time.Time }
+// checkRetries checks the number of repeated arrivals at each service, over all boxes,
+// against the retry budget.
+func (v *verifier) checkRetries() {
+	type counts struct{ requests, repeated []time.Time }
 	services := make(map[string]*counts)
 	service := func(name string) *counts {
 		if services[name] == nil {
@@ -82,67 +83,67 @@
 		}
 		return services[name]
 	}
-	of := make(map[string]string)
-	for _, arrivals := range j.byID {
+	serviceOf := make(map[string]string)
+	for _, arrivals := range v.byID {
 		prefills, runs := 0, 0
 		for _, i := range arrivals {
-			a := j.Sight.Arrivals[i]
-			of[a.ID] = a.Service
+			a := v.Sight.Arrivals[i]
+			serviceOf[a.ID] = a.Service
 			earlier := &runs
 			if a.Step == standin.StepPrefill {
 				earlier = &prefills
 			}
 			if *earlier++; *earlier > 1 {
 				c := service(a.Service)
-				c.further = append(c.further, a.At)
+				c.repeated = append(c.repeated, a.At)
 			}
 		}
 	}
-	for _, a := range j.Answers {
-		if name := of[a.ID]; name != "" {
+	for _, a := range v.Answers {
+		if name := serviceOf[a.ID]; name != "" {
 			c := service(name)
-			c.asked = append(c.asked, a.Begun)
+			c.requests = append(c.requests, a.Begun)
 		}
 	}
 	for name, c := range services {
-		slices.SortFunc(c.asked, time.Time.Compare)
-		sliding(c.further, j.bounds.RetryWindow, func(at time.Time, count int) {
-			most := j.bounds.RetryRatio*float64(j.asked(c.asked, at)) + j.bounds.RetrySlack
-			j.report.Note("retry_budget", float64(count) <= most, "%s got %d further arrivals of %.0f in the window up to %s",
-				name, count, most, at.Format(clock))
+		slices.SortFunc(c.requests, time.Time.Compare)
+		forEachWindow(c.repeated, v.bounds.RetryWindow, func(at time.Time, count int) {
+			limit := v.bounds.RetryRatio*float64(v.maxRequests(c.requests, at)) + v.bounds.RetrySlack
+			v.report.Note("retry_budget", float64(count) <= limit, "%s got %d further arrivals of %.0f in the window up to %s",
+				name, count, limit, at.Format(timeFormat))
 		})
 	}
 }
 
-// asked is the most requests in the window that ends at a time, the one before it
-// and the one between them.
-func (j *judge) asked(times []time.Time, at time.Time) int {
-	most := 0
-	for back := time.Duration(0); back <= j.bounds.RetryWindow; back += j.bounds.RetryWindow / 2 {
+// maxRequests returns the highest number of requests in three windows: the one that ends at
+// a time, the one before it, and the one halfway between them.
+func (v *verifier) maxRequests(times []time.Time, at time.Time) int {
+	limit := 0
+	for back := time.Duration(0); back <= v.bounds.RetryWindow; back += v.bounds.RetryWindow / 2 {
 		to := at.Add(-back)
-		low, _ := slices.BinarySearchFunc(times, to.Add(-j.bounds.RetryWindow), time.Time.Compare)
+		low, _ := slices.BinarySearchFunc(times, to.Add(-v.bounds.RetryWindow), time.Time.Compare)
 		high, _ := slices.BinarySearchFunc(times, to, time.Time.Compare)
-		most = max(most, high-low)
+		limit = max(limit, high-low)
 	}
-	return most
+	return limit
 }
 
-// cold judges what reaches cold endpoints, over all boxes.
-func (j *judge) cold() {
-	if j.bounds.ColdPace <= 0 {
+// checkColdPace checks the rate of arrivals at cold endpoints, over all boxes.
+func (v *verifier) checkColdPace() {
+	if v.bounds.ColdPace <= 0 {
 		return
 	}
 	reached := make(map[string][]time.Time)
-	for _, a := range j.Sight.Arrivals {
+	for _, a := range v.Sight.Arrivals {
 		if a.Cold > 0 && a.Fate != standin.Misdirected {
 			reached[a.Endpoint] = append(reached[a.Endpoint], a.At)
 		}
 	}
-	most := j.bounds.ColdPace*j.bounds.ColdOverage + j.bounds.ColdSlack
+	limit := v.bounds.ColdPace*v.bounds.ColdOverage + v.bounds.ColdSlack
 	for endpoint, times := range reached {
-		sliding(times, time.Second, func(at time.Time, count int) {
-			j.report.Note("cold_pace", float64(count) <= most, "%s got %d of %.1f in the second up to %s while cold",
-				endpoint, count, most, at.Format(clock))
+		forEachWindow(times, time.Second, func(at time.Time, count int) {
+			v.report.Note("cold_pace", float64(count) <= limit, "%s got %d of %.1f in the second up to %s while cold",
+				endpoint, count, limit, at.Format(timeFormat))
 		})
 	}
 }
--- a/bench/soak/proxy/owner.go
+++ b/bench/soak/proxy/owner.go
@@ -13,32 +13,32 @@
 	"syscall"
 )
 
-// Owners tells which of some processes has connected, by the kernel's word on its
-// socket and the files that processes have open.
+// Owners identifies which of the registered processes opened a connection. It asks the
+// kernel for the inode of the peer's socket and looks for it among the processes' open files.
 type Owners struct {
 	mutex sync.Mutex
 	names map[int]string
 }
 
-// NewOwners knows no process yet.
+// NewOwners returns an Owners without processes.
 func NewOwners() *Owners { return &Owners{names: make(map[int]string)} }
 
-// Set names a process.
+// Set registers a process under a name.
 func (o *Owners) Set(pid int, name string) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.names[pid] = name
 }
 
-// Forget drops a process that has ended.
+// Forget removes a process that has ended.
 func (o *Owners) Forget(pid int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	delete(o.names, pid)
 }
 
-// Of is the name of the process at the other end of a connection over IPv4; empty if
-// it has closed its socket already.
+// Of returns the name of the process at the other end of an IPv4 connection. It is empty if
+// no registered process has that socket open, for example because it has closed it already.
 func (o *Owners) Of(c net.Conn) string {
 	inode, err := inodeOf(c.RemoteAddr().(*net.TCPAddr), c.LocalAddr().(*net.TCPAddr))
 	if err != nil {
@@ -48,15 +48,15 @@
 	names := maps.Clone(o.names)
 	o.mutex.Unlock()
 	for pid, name := range names {
-		if holds(pid, inode) {
+		if hasSocketOpen(pid, inode) {
 			return name
 		}
 	}
 	return ""
 }
 
-// holds says whether a process has a socket open.
-func holds(pid int, inode uint32) bool {
+// hasSocketOpen reports whether a process has the socket with an inode open.
+func hasSocketOpen(pid int, inode uint32) bool {
 	dir := fmt.Sprintf("/proc/%d/fd/", pid)
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	want := fmt.Sprintf("socket:[%d]", inode)
 	for _, f := range files {
-		// A file that was closed meanwhile has no link.
+		// The link of a file that was closed meanwhile can't be read.
 		if link, err := os.Readlink(dir + f.Name()); err == nil && link == want {
 			return true
 		}
@@ -72,7 +72,7 @@
 	return false
 }
 
-// The kernel's interface for questions on sockets (linux/inet_diag.h).
+// Constants of the kernel's socket diagnostics interface (linux/inet_diag.h).
 const (
 	netlinkSockDiag  = 4
 	sockDiagByFamily = 20
@@ -84,14 +84,15 @@
 	noCookie         = 0xffffffff
 )
 
-// inodeOf asks the kernel for the socket with a local and a remote address.
+// inodeOf returns the inode of the socket with a local and a remote address. It errors if the
+// kernel knows no such socket.
 func inodeOf(local, remote *net.TCPAddr) (uint32, error) {
 	s, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_DGRAM|syscall.SOCK_CLOEXEC, netlinkSockDiag)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = syscall.Close(s) }()
-	if err := syscall.Sendto(s, question(local, remote), 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
+	if err := syscall.Sendto(s, diagRequest(local, remote), 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
 		return 0, err
 	}
 	buffer := make([]byte, os.Getpagesize())
@@ -105,8 +106,8 @@
 	return binary.NativeEndian.Uint32(buffer[offsetInode:]), nil
 }
 
-// question is a request for one socket: a netlink header, then inet_diag_req_v2.
-func question(local, remote *net.TCPAddr) []byte {
+// diagRequest encodes the request for one socket: a netlink header, then inet_diag_req_v2.
+func diagRequest(local, remote *net.TCPAddr) []byte {
 	out := make([]byte, 0, requestSize)
 	out = binary.NativeEndian.AppendUint32(out, requestSize)
 	out = binary.NativeEndian.AppendUint16(out, sockDiagByFamily)
--- a/bench/soak/proxy/pipe.go
+++ b/bench/soak/proxy/pipe.go
@@ -12,46 +12,46 @@
 	"time"
 )
 
-// way is one of the two ways of a connection.
-type way int
+// direction is one of the two directions of a connection.
+type direction int
 
 const (
-	forth way = iota
-	back
-	ways
+	forward direction = iota
+	backward
+	directions
 )
 
-// state is what happens to a connection now.
-type state struct {
+// linkState is the combined effect of distance and faults on a connection.
+type linkState struct {
 	delay   time.Duration
-	lines   [ways]*Line
-	cut     [ways]bool
+	lines   [directions]*Line
+	cut     [directions]bool
 	refused bool
 }
 
-// pipe is one connection that is passed on.
-type pipe struct {
+// connection is one proxied connection: the one accepted and the one to the target.
+type connection struct {
 	link   Link
 	number uint64
-	state  atomic.Pointer[state]
-	// changed is closed when the state changes, and ended when the pipe is reset.
+	state  atomic.Pointer[linkState]
+	// changed is closed and replaced when the state changes; done is closed on reset.
 	mutex   sync.Mutex
 	changed chan struct{}
-	ended   chan struct{}
-	// over says that the pipe is reset; conns are its connections until then.
-	over  bool
-	conns []*net.TCPConn
+	done    chan struct{}
+	// closed is true after reset. conns are the two TCP connections, once they are open.
+	closed bool
+	conns  []*net.TCPConn
 }
 
-func newPipe(l Link, number uint64) *pipe {
-	p := &pipe{link: l, number: number, changed: make(chan struct{}), ended: make(chan struct{})}
-	p.state.Store(&state{})
+func newConnection(l Link, number uint64) *connection {
+	p := &connection{link: l, number: number, changed: make(chan struct{}), done: make(chan struct{})}
+	p.state.Store(&linkState{})
 	return p
 }
 
-func (p *pipe) now() state { return *p.state.Load() }
+func (p *connection) current() linkState { return *p.state.Load() }
 
-func (p *pipe) set(s state) {
+func (p *connection) set(s linkState) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.state.Store(&s)
@@ -59,27 +59,28 @@
 	p.changed = make(chan struct{})
 }
 
-// reset ends both connections. They have ended when it returns: a byte that is sent
-// after a fault began must not pass.
-func (p *pipe) reset() {
+// reset aborts both TCP connections. They are closed when it returns, since no byte that is
+// sent after a fault began may be forwarded.
+func (p *connection) reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.over {
+	if p.closed {
 		return
 	}
-	p.over = true
-	close(p.ended)
+	p.closed = true
+	close(p.done)
 	for _, c := range p.conns {
 		abort(c)
 	}
 }
 
-// attach has connections end when the pipe is reset, at once if it has been.
-func (p *pipe) attach(conns ...*net.TCPConn) {
+// attach registers the TCP connections that a reset aborts, and aborts them at once if the
+// reset has happened already.
+func (p *connection) attach(conns ...*net.TCPConn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.conns = conns
-	if !p.over {
+	if !p.closed {
 		return
 	}
 	for _, c := range conns {
@@ -87,61 +88,62 @@
 	}
 }
 
-// run passes bytes on until both ways have ended or the pipe is reset.
-func (p *pipe) run(near, far *net.TCPConn) {
+// run forwards bytes until both directions have ended or the connection is reset.
+func (p *connection) run(near, far *net.TCPConn) {
 	p.attach(near, far)
 	var both sync.WaitGroup
-	both.Go(func() { p.pass(forth, near, far) })
-	both.Go(func() { p.pass(back, far, near) })
+	both.Go(func() { p.relay(forward, near, far) })
+	both.Go(func() { p.relay(backward, far, near) })
 	both.Wait()
-	// Those of a pipe that is reset are closed already.
+	// After a reset they are closed already.
 	_ = near.Close()
 	_ = far.Close()
 }
 
 const (
-	// pieceSize bounds one read, and waiting the pieces that are on their way.
-	pieceSize = 16 << 10
-	waiting   = 64
+	// chunkSize bounds one read in bytes, and maxQueuedChunks the chunks in flight per direction.
+	chunkSize       = 16 << 10
+	maxQueuedChunks = 64
 )
 
-// piece is what was read at once; the last of a way has no bytes.
-type piece struct {
-	data []byte
-	at   time.Time
+// chunk holds the bytes of one read. A chunk without bytes marks the end of a direction.
+type chunk struct {
+	data   []byte
+	readAt time.Time
 }
 
-// pass reads from one end and writes to the other after the delay.
-func (p *pipe) pass(w way, from, to *net.TCPConn) {
-	pieces := make(chan piece, waiting)
-	go p.read(from, pieces)
-	for piece := range pieces {
-		if !p.hold(w, piece) {
+// relay reads from one end and writes to the other, delayed as the link's state demands.
+func (p *connection) relay(d direction, from, to *net.TCPConn) {
+	chunks := make(chan chunk, maxQueuedChunks)
+	go p.read(from, chunks)
+	for next := range chunks {
+		if !p.await(d, next) {
 			return
 		}
-		if len(piece.data) == 0 {
+		if len(next.data) == 0 {
 			_ = to.CloseWrite()
 			return
 		}
-		if _, err := to.Write(piece.data); err != nil {
+		if _, err := to.Write(next.data); err != nil {
 			p.reset()
 			return
 		}
 	}
 }
 
-// read puts what comes into pieces. A reset of one end resets the other.
-func (p *pipe) read(from *net.TCPConn, pieces chan<- piece) {
-	defer close(pieces)
+// read queues what it reads as chunks. A read error, such as a reset by one end, resets the
+// other end too.
+func (p *connection) read(from *net.TCPConn, chunks chan<- chunk) {
+	defer close(chunks)
 	for {
-		buffer := make([]byte, pieceSize)
+		buffer := make([]byte, chunkSize)
 		n, err := from.Read(buffer)
-		if n > 0 && !p.offer(pieces, piece{buffer[:n], time.Now()}) {
+		if n > 0 && !p.enqueue(chunks, chunk{buffer[:n], time.Now()}) {
 			return
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			p.offer(pieces, piece{at: time.Now()})
+			p.enqueue(chunks, chunk{readAt: time.Now()})
 			return
 		case err != nil:
 			p.reset()
@@ -150,64 +152,65 @@
 	}
 }
 
-func (p *pipe) offer(pieces chan<- piece, one piece) bool {
+func (p *connection) enqueue(chunks chan<- chunk, next chunk) bool {
 	select {
-	case pieces <- one:
+	case chunks <- next:
 		return true
-	case <-p.ended:
+	case <-p.done:
 		return false
 	}
 }
 
-// hold waits until a piece may go on; false when the pipe has ended.
-func (p *pipe) hold(w way, one piece) bool {
+// await waits until a chunk may be forwarded. It returns false if the connection is reset first.
+func (p *connection) await(d direction, next chunk) bool {
 	charged := false
 	for {
 		p.mutex.Lock()
 		s, changed := *p.state.Load(), p.changed
 		p.mutex.Unlock()
-		if s.cut[w] {
+		if s.cut[d] {
 			select {
 			case <-changed:
 				continue
-			case <-p.ended:
+			case <-p.done:
 				return false
 			}
 		}
-		wait := s.delay - time.Since(one.at)
-		if s.lines[w] != nil && !charged {
+		wait := s.delay - time.Since(next.readAt)
+		if s.lines[d] != nil && !charged {
 			charged = true
-			wait = max(wait, s.lines[w].take(len(one.data)))
+			wait = max(wait, s.lines[d].reserve(len(next.data)))
 		}
 		if wait <= 0 {
 			return true
 		}
 		select {
 		case <-time.After(wait):
-		case <-p.ended:
+		case <-p.done:
 			return false
 		}
 	}
 }
 
-// Line is one way of a line that several links share: so many bytes a second.
+// Line is one direction of a line of limited bandwidth that several links share.
 type Line struct {
-	rate  float64
-	mutex sync.Mutex
-	free  time.Time
+	rate   float64
+	mutex  sync.Mutex
+	freeAt time.Time
 }
 
-// NewLine makes a line of a rate in bytes a second.
+// NewLine returns a line with a rate in bytes per second.
 func NewLine(rate float64) *Line { return &Line{rate: rate} }
 
-// take books bytes and returns how long they have to wait.
-func (l *Line) take(size int) time.Duration {
+// reserve queues bytes behind those reserved before and returns how long until the line has
+// sent them.
+func (l *Line) reserve(size int) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(size) / l.rate * float64(time.Second)))
-	return l.free.Sub(now)
+	l.freeAt = l.freeAt.Add(time.Duration(float64(size) / l.rate * float64(time.Second)))
+	return l.freeAt.Sub(now)
 }
--- a/bench/soak/proxy/proxy.go
+++ b/bench/soak/proxy/proxy.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package proxy passes TCP connections on over loopback and has faults by pair:
-// delay, resets, a cut in one way or both, silence on connections that are open,
-// and a rate of bytes.
+// Package proxy forwards TCP connections over loopback and injects faults by pair of
+// ends: delay, resets, a cut in one direction or both, silence on connections that are
+// already open, and a limited bandwidth.
 package proxy
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Kind is what a link is for.
+// Kind is the purpose of a link.
 type Kind string
 
 // Kinds of links.
@@ -23,68 +23,69 @@
 	Endpoint Kind = "endpoint"
 )
 
-// Link is who connects to whom, and what for.
+// Link identifies the two ends of connections, by name, and their purpose.
 type Link struct {
 	Kind     Kind
 	From, To string
 }
 
-// Match picks links; what is empty picks all.
+// Match selects links; an empty field matches any value.
 type Match Link
 
 func (m Match) matches(l Link) bool {
 	return (m.Kind == "" || m.Kind == l.Kind) && (m.From == "" || m.From == l.From) && (m.To == "" || m.To == l.To)
 }
 
-// Fault is what happens on the links that are picked, while it lasts.
+// Fault describes what happens on the matched links while it is applied.
 type Fault struct {
-	// Delay is added in each way.
+	// Delay is added in each direction.
 	Delay time.Duration
-	// Reset ends open connections once, and Refuse new ones at once.
+	// Reset aborts the connections that are open when the fault begins; Refuse aborts
+	// each new one immediately.
 	Reset, Refuse bool
-	// CutForth and CutBack keep what is sent that way until the fault ends, as a
-	// network does that loses every packet.
+	// CutForth and CutBack withhold what is sent in that direction until the fault
+	// ends, like a network that loses every packet until TCP retransmits.
 	CutForth, CutBack bool
-	// Silent keeps everything on the connections that were open when it began; new
-	// ones work.
+	// Silent withholds everything on the connections that were open when the fault
+	// began; new ones work.
 	Silent bool
 }
 
-// active is a fault that is on.
-type active struct {
+// activeFault is a fault that is applied now.
+type activeFault struct {
 	match Match
 	fault Fault
-	// until is the number of the last connection that was open when it began.
-	until uint64
+	// lastOpen is the number of the newest connection when the fault began.
+	lastOpen uint64
 }
 
-// Distance says how far apart the ends of a link are, and which lines it shares with
-// others; nil is none.
+// Distance returns the delay of a link in each direction, and the lines that it shares with
+// other links; a nil line has no limit.
 type Distance func(l Link) (delay time.Duration, forth, back *Line)
 
-// Net is all links of a run.
+// Net holds all links of a run and the faults applied to them.
 type Net struct {
 	distance Distance
 
-	mutex   sync.Mutex
-	faults  map[*active]bool
-	pipes   map[*pipe]bool
-	last    uint64
-	proxies []*Proxy
+	mutex       sync.Mutex
+	faults      map[*activeFault]bool
+	connections map[*connection]bool
+	lastNumber  uint64
+	proxies     []*Proxy
 }
 
-// New makes a net without links.
+// New returns a Net without links.
 func New(distance Distance) *Net {
-	return &Net{distance: distance, faults: make(map[*active]bool), pipes: make(map[*pipe]bool)}
+	return &Net{distance: distance, faults: make(map[*activeFault]bool), connections: make(map[*connection]bool)}
 }
 
-// Apply begins a fault; the function that it returns ends it.
+// Apply begins a fault on the matched links and returns the function that ends it.
 func (n *Net) Apply(m Match, f Fault) (end func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	a := &active{match: m, fault: f, until: n.last}
+	a := &activeFault{match: m, fault: f, lastOpen: n.lastNumber}
 	n.faults[a] = true
-	for p := range n.pipes {
+	for p := range n.connections {
 		if f.Reset && m.matches(p.link) {
 			p.reset()
 		}
@@ -94,32 +95,33 @@
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
 		delete(n.faults, a)
-		for p := range n.pipes {
+		for p := range n.connections {
 			p.set(n.stateOf(p))
 		}
 	}
 }
 
-// stateOf is what all faults together do to a connection. The mutex is held.
-func (n *Net) stateOf(p *pipe) state {
-	var out state
+// stateOf returns the combined effect of distance and all faults on a connection. The mutex
+// must be held.
+func (n *Net) stateOf(p *connection) linkState {
+	var out linkState
 	if n.distance != nil {
-		out.delay, out.lines[forth], out.lines[back] = n.distance(p.link)
+		out.delay, out.lines[forward], out.lines[backward] = n.distance(p.link)
 	}
 	for a := range n.faults {
 		if !a.match.matches(p.link) {
 			continue
 		}
-		silent := a.fault.Silent && p.number <= a.until
+		silent := a.fault.Silent && p.number <= a.lastOpen
 		out.delay += a.fault.Delay
-		out.cut[forth] = out.cut[forth] || a.fault.CutForth || silent
-		out.cut[back] = out.cut[back] || a.fault.CutBack || silent
+		out.cut[forward] = out.cut[forward] || a.fault.CutForth || silent
+		out.cut[backward] = out.cut[backward] || a.fault.CutBack || silent
 		out.refused = out.refused || a.fault.Refuse
 	}
 	return out
 }
 
-// Proxy is one listener of a net.
+// Proxy is one listener of a Net.
 type Proxy struct {
 	net      *Net
 	kind     Kind
@@ -131,7 +133,8 @@
 	target string
 }
 
-// Listen opens a listener for links to an end. From tells who has connected.
+// Listen opens a listener for links to an end. From returns the name of the end that opened a
+// connection.
 func (n *Net) Listen(kind Kind, to string, from func(net.Conn) string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,14 +148,14 @@
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address on which the proxy listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// To is the end that the proxy's links go to.
+// To returns the name of the end that the proxy's links go to.
 func (p *Proxy) To() string { return p.to }
 
-// SetTarget sets where connections are passed on to; empty resets them, as where
-// nobody listens.
+// SetTarget sets the address to which new connections are forwarded. With an empty address
+// they are reset, as if nothing listened there.
 func (p *Proxy) SetTarget(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -169,57 +172,57 @@
 	}
 }
 
-// connect passes a connection on.
+// connect forwards an accepted connection to the target until it ends.
 func (p *Proxy) connect(c *net.TCPConn) {
 	p.mutex.Lock()
 	target := p.target
 	p.mutex.Unlock()
 	link := Link{Kind: p.kind, From: p.from(c), To: p.to}
-	pipe := p.net.open(link)
-	if target == "" || pipe.now().refused {
-		p.net.drop(pipe)
+	forwarded := p.net.open(link)
+	if target == "" || forwarded.current().refused {
+		p.net.drop(forwarded)
 		abort(c)
 		return
 	}
 	far, err := net.Dial("tcp", target)
 	if err != nil {
-		p.net.drop(pipe)
+		p.net.drop(forwarded)
 		abort(c)
 		return
 	}
-	pipe.run(c, far.(*net.TCPConn))
-	p.net.drop(pipe)
+	forwarded.run(c, far.(*net.TCPConn))
+	p.net.drop(forwarded)
 }
 
-func (n *Net) open(l Link) *pipe {
+func (n *Net) open(l Link) *connection {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.last++
-	p := newPipe(l, n.last)
-	n.pipes[p] = true
+	n.lastNumber++
+	p := newConnection(l, n.lastNumber)
+	n.connections[p] = true
 	p.set(n.stateOf(p))
 	return p
 }
 
-func (n *Net) drop(p *pipe) {
+func (n *Net) drop(p *connection) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	delete(n.pipes, p)
+	delete(n.connections, p)
 }
 
-// Close ends all listeners and connections.
+// Close closes all listeners and resets all connections.
 func (n *Net) Close() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	for _, p := range n.proxies {
 		_ = p.listener.Close()
 	}
-	for p := range n.pipes {
+	for p := range n.connections {
 		p.reset()
 	}
 }
 
-// abort ends a connection by a reset.
+// abort closes a connection with a reset.
 func abort(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
--- a/bench/soak/proxy/proxy_test.go
+++ b/bench/soak/proxy/proxy_test.go
@@ -15,8 +15,8 @@
 	"github.com/smartystreets/goconvey/convey"
 )
 
-// echo answers every connection with what it sends.
-func echo(t *testing.T) string {
+// listenEcho starts a listener that echoes every connection and returns its address.
+func listenEcho(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,8 +38,8 @@
 	return l.Addr().String()
 }
 
-// says sends a byte and reports whether it comes back.
-func says(t *testing.T, c net.Conn, within time.Duration) bool {
+// echoes sends a byte and reports whether it comes back in time.
+func echoes(t *testing.T, c net.Conn, within time.Duration) bool {
 	t.Helper()
 	if _, err := c.Write([]byte{'x'}); err != nil {
 		return false
@@ -59,8 +59,8 @@
 	return c
 }
 
-// echoing is a net with a proxy from us to them, who answer with what we send.
-func echoing(t *testing.T) (*Net, *Proxy) {
+// newEchoNet returns a Net with a proxy from "us" (this process) to "them", an echo listener.
+func newEchoNet(t *testing.T) (*Net, *Proxy) {
 	t.Helper()
 	owners := NewOwners()
 	owners.Set(os.Getpid(), "us")
@@ -70,63 +70,63 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.SetTarget(echo(t))
+	p.SetTarget(listenEcho(t))
 	return n, p
 }
 
 const (
-	soon = 50 * time.Millisecond
-	ages = 20 * time.Second
+	shortWait = 50 * time.Millisecond
+	longWait  = 20 * time.Second
 )
 
 func TestFaults(t *testing.T) {
-	n, p := echoing(t)
+	n, p := newEchoNet(t)
 	ours := Match{Kind: Box, From: "us", To: "them"}
-	convey.Convey("Bytes pass, and the end of a connection does", t, func() {
+	convey.Convey("Bytes and the end of a connection are forwarded", t, func() {
 		c := dial(t, p.Addr())
-		convey.So(says(t, c, ages), convey.ShouldBeTrue)
+		convey.So(echoes(t, c, longWait), convey.ShouldBeTrue)
 		_ = c.(*net.TCPConn).CloseWrite()
 		_, err := c.Read(make([]byte, 1))
 		convey.So(err, convey.ShouldEqual, io.EOF)
 	})
 	for name, f := range map[string]Fault{"forth": {CutForth: true}, "back": {CutBack: true}, "both": {CutForth: true, CutBack: true}} {
-		convey.Convey("What is sent during a cut "+name+" comes after it", t, func() {
+		convey.Convey("What is sent during a cut "+name+" arrives after it", t, func() {
 			c := dial(t, p.Addr())
-			convey.So(says(t, c, ages), convey.ShouldBeTrue)
+			convey.So(echoes(t, c, longWait), convey.ShouldBeTrue)
 			end := n.Apply(ours, f)
-			convey.So(says(t, c, soon), convey.ShouldBeFalse)
+			convey.So(echoes(t, c, shortWait), convey.ShouldBeFalse)
 			end()
-			_ = c.SetReadDeadline(time.Now().Add(ages))
+			_ = c.SetReadDeadline(time.Now().Add(longWait))
 			_, err := c.Read(make([]byte, 1))
 			convey.So(err, convey.ShouldBeNil)
 		})
 	}
-	convey.Convey("A cut of another pair changes nothing", t, func() {
+	convey.Convey("A cut of another pair has no effect", t, func() {
 		c := dial(t, p.Addr())
 		defer n.Apply(Match{Kind: Box, From: "others"}, Fault{CutForth: true})()
-		convey.So(says(t, c, ages), convey.ShouldBeTrue)
+		convey.So(echoes(t, c, longWait), convey.ShouldBeTrue)
 	})
-	convey.Convey("Silence strikes open connections and spares new ones", t, func() {
+	convey.Convey("Silence affects open connections but not new ones", t, func() {
 		old := dial(t, p.Addr())
-		convey.So(says(t, old, ages), convey.ShouldBeTrue)
+		convey.So(echoes(t, old, longWait), convey.ShouldBeTrue)
 		end := n.Apply(ours, Fault{Silent: true})
-		convey.So(says(t, old, soon), convey.ShouldBeFalse)
-		convey.So(says(t, dial(t, p.Addr()), ages), convey.ShouldBeTrue)
+		convey.So(echoes(t, old, shortWait), convey.ShouldBeFalse)
+		convey.So(echoes(t, dial(t, p.Addr()), longWait), convey.ShouldBeTrue)
 		end()
 	})
-	convey.Convey("A reset ends open connections, and refusal new ones", t, func() {
+	convey.Convey("Reset closes open connections, and Refuse closes new ones", t, func() {
 		c := dial(t, p.Addr())
-		convey.So(says(t, c, ages), convey.ShouldBeTrue)
+		convey.So(echoes(t, c, longWait), convey.ShouldBeTrue)
 		end := n.Apply(ours, Fault{Reset: true, Refuse: true})
-		convey.So(says(t, c, ages), convey.ShouldBeFalse)
+		convey.So(echoes(t, c, longWait), convey.ShouldBeFalse)
 		convey.So(refuses(t, p.Addr()), convey.ShouldBeTrue)
 		end()
 		convey.So(refuses(t, p.Addr()), convey.ShouldBeFalse)
 	})
 }
 
-// refuses says whether a new connection is reset. The reset may come so soon that connecting
-// ends with it.
+// refuses reports whether a new connection is reset. The reset may come so early that dialing
+// already fails with it.
 func refuses(t *testing.T, address string) bool {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -137,30 +137,30 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	return !says(t, c, ages)
+	return !echoes(t, c, longWait)
 }
 
-// TestResetOfManyConnections sends on many connections right after the reset that ends
-// them. Each was ended by a goroutine of its own, some time after Apply had returned; a
-// byte that was sent until then came back.
+// TestResetOfManyConnections sends on many connections right after a reset. It guards against
+// resets that are still pending when Apply returns: when each connection was closed by its own
+// goroutine, a byte sent before that goroutine ran was echoed.
 func TestResetOfManyConnections(t *testing.T) {
 	const connections = 200
-	n, p := echoing(t)
-	convey.Convey("Nothing that is sent after a reset comes back", t, func() {
+	n, p := newEchoNet(t)
+	convey.Convey("Nothing that is sent after a reset is echoed", t, func() {
 		var open []net.Conn
 		for range connections {
 			c := dial(t, p.Addr())
-			convey.So(says(t, c, ages), convey.ShouldBeTrue)
+			convey.So(echoes(t, c, longWait), convey.ShouldBeTrue)
 			open = append(open, c)
 		}
 		defer n.Apply(Match{Kind: Box}, Fault{Reset: true})()
 		for _, c := range open {
-			// One that has ended may refuse it.
+			// The write may fail on a connection that is closed already.
 			_, _ = c.Write([]byte{'x'})
 		}
 		passed := 0
 		for _, c := range open {
-			_ = c.SetReadDeadline(time.Now().Add(ages))
+			_ = c.SetReadDeadline(time.Now().Add(longWait))
 			if _, err := c.Read(make([]byte, 1)); err == nil {
 				passed++
 			}
@@ -170,15 +170,15 @@
 }
 
 func TestLine(t *testing.T) {
-	convey.Convey("What goes over a line waits for what went before", t, func() {
+	convey.Convey("Bytes on a line wait for those reserved before", t, func() {
 		l := NewLine(1000)
-		convey.So(l.take(500), convey.ShouldBeBetween, 400*time.Millisecond, 501*time.Millisecond)
-		convey.So(l.take(500), convey.ShouldBeBetween, 800*time.Millisecond, 1001*time.Millisecond)
+		convey.So(l.reserve(500), convey.ShouldBeBetween, 400*time.Millisecond, 501*time.Millisecond)
+		convey.So(l.reserve(500), convey.ShouldBeBetween, 800*time.Millisecond, 1001*time.Millisecond)
 	})
 }
 
 func TestOwners(t *testing.T) {
-	convey.Convey("The process that has connected is known, and one that was forgotten is not", t, func() {
+	convey.Convey("The process that opened a connection is known until it is forgotten", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		convey.So(err, convey.ShouldBeNil)
 		defer func() { _ = l.Close() }()
--- a/bench/soak/schedule/schedule.go
+++ b/bench/soak/schedule/schedule.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package schedule draws from a seed which faults strike a run, when, where and
-// for how long. The same seed and configuration give the same schedule.
+// Package schedule draws the faults of a soak run from a seed: their kind, start, target and
+// duration. The same seed and configuration give the same schedule.
 package schedule
 
 import (
@@ -42,7 +42,7 @@
 	StoreWritesLate  Kind = "store_writes_late"
 	StoreForgets     Kind = "store_forgets"
 	StoreDeaf        Kind = "store_deaf"
-	// StoreOlder has the store come back from a copy some seconds old.
+	// StoreOlder restores the store from a copy that is some seconds old.
 	StoreOlder   Kind = "store_comes_back_older"
 	TableChanged Kind = "table_changed"
 	TableGrown   Kind = "table_grown"
@@ -63,23 +63,24 @@
 	EndpointCrashed Kind = "endpoint_crashed"
 	EndpointMoved   Kind = "endpoint_address_reused"
 	EndpointLeaving Kind = "endpoint_leaving"
-	// PoisonRequest is a request that ends each endpoint that runs it, and comes again.
+	// PoisonRequest is a request that crashes each endpoint that runs it, and is repeated.
 	PoisonRequest Kind = "poison_request"
-	// EndpointLimited names a limit on the requests that it takes from all boxes together.
+	// EndpointLimited has an endpoint name a limit on the requests from all boxes together.
 	EndpointLimited Kind = "endpoint_names_limit"
-	// EndpointTired turns requests away and asks each box for a rest; EndpointParting says in
-	// its answers that it leaves, later in the store too, and ends.
+	// EndpointTired has an endpoint reject requests and ask each box for a rest.
+	// EndpointParting has one announce in its answers, and later in the store, that it
+	// leaves, and then end.
 	EndpointTired   Kind = "endpoint_wants_rest"
 	EndpointParting Kind = "endpoint_says_it_leaves"
-	// TransfersStalled is of engines that speak the product's own protocol.
+	// TransfersStalled applies to engines that speak the router's own protocol.
 	TransfersStalled Kind = "transfers_stalled"
 )
 
-// Target is what a kind strikes.
+// Target is what a kind of fault affects.
 type Target uint8
 
-// Targets. Two faults at once strike neither the same box nor the same place, and
-// one strikes the store.
+// Targets. At any time at most one fault makes a given box unavailable, at most one affects a
+// given place, and at most one affects the store.
 const (
 	None Target = iota
 	OnBox
@@ -88,86 +89,87 @@
 	OnStore
 )
 
-// trait is what a kind strikes, how often it is drawn, and for how long it lasts.
-type trait struct {
-	target        Target
-	weight        int
-	least, longer time.Duration
-	// away says that the box cannot serve meanwhile.
-	away bool
+// kindSpec holds the target of a kind, the weight with which it is drawn, and its duration:
+// minDuration plus a random part below jitter.
+type kindSpec struct {
+	target              Target
+	weight              int
+	minDuration, jitter time.Duration
+	// unavailable is true if the box can't serve during the fault.
+	unavailable bool
 }
 
-const s = time.Second
+const second = time.Second
 
-var traits = map[Kind]trait{
-	BoxStopped:     {target: OnBox, weight: 3, least: 4 * s, longer: s, away: true},
-	BoxKilled:      {target: OnBox, weight: 3, least: 2 * s, longer: 2 * s, away: true},
-	BoxPaused:      {target: OnBox, weight: 3, least: s / 2, longer: 3 * s, away: true},
+var kindSpecs = map[Kind]kindSpec{
+	BoxStopped:     {target: OnBox, weight: 3, minDuration: 4 * second, jitter: second, unavailable: true},
+	BoxKilled:      {target: OnBox, weight: 3, minDuration: 2 * second, jitter: 2 * second, unavailable: true},
+	BoxPaused:      {target: OnBox, weight: 3, minDuration: second / 2, jitter: 3 * second, unavailable: true},
 	BoxHangup:      {target: OnBox, weight: 1},
-	BoxCut:         {target: OnBox, weight: 3, least: s, longer: 4 * s, away: true},
-	LinkOneWay:     {target: OnPair, weight: 3, least: s, longer: 4 * s},
-	LinkSilent:     {target: OnPair, weight: 2, least: s, longer: 4 * s},
+	BoxCut:         {target: OnBox, weight: 3, minDuration: second, jitter: 4 * second, unavailable: true},
+	LinkOneWay:     {target: OnPair, weight: 3, minDuration: second, jitter: 4 * second},
+	LinkSilent:     {target: OnPair, weight: 2, minDuration: second, jitter: 4 * second},
 	LinkReset:      {target: OnPair, weight: 2},
-	LinkDelayed:    {target: OnPair, weight: 2, least: s, longer: 4 * s},
-	EndpointCut:    {target: OnPlace, weight: 2, least: s, longer: 3 * s},
+	LinkDelayed:    {target: OnPair, weight: 2, minDuration: second, jitter: 4 * second},
+	EndpointCut:    {target: OnPlace, weight: 2, minDuration: second, jitter: 3 * second},
 	CallersReset:   {target: OnBox, weight: 1},
-	RollingRestart: {target: OnBox, weight: 1, least: 10 * s, longer: 2 * s, away: true},
+	RollingRestart: {target: OnBox, weight: 1, minDuration: 10 * second, jitter: 2 * second, unavailable: true},
 
-	StoreBusy:        {target: OnStore, weight: 1, least: s / 2, longer: 3 * s},
-	StoreSilent:      {target: OnStore, weight: 1, least: s / 2, longer: 3 * s},
-	StoreReset:       {target: OnStore, weight: 1, least: s / 2, longer: 3 * s},
-	StoreSlow:        {target: OnStore, weight: 1, least: s, longer: 4 * s},
-	StoreRefusesSome: {target: OnStore, weight: 1, least: s, longer: 4 * s},
-	StoreLosesWrites: {target: OnStore, weight: 1, least: s, longer: 3 * s},
-	StoreWritesLate:  {target: OnStore, weight: 1, least: s, longer: 3 * s},
-	StoreDeaf:        {target: OnStore, weight: 1, least: s, longer: 3 * s},
-	StoreOlder:       {target: OnStore, weight: 6, least: 4 * s, longer: 4 * s},
+	StoreBusy:        {target: OnStore, weight: 1, minDuration: second / 2, jitter: 3 * second},
+	StoreSilent:      {target: OnStore, weight: 1, minDuration: second / 2, jitter: 3 * second},
+	StoreReset:       {target: OnStore, weight: 1, minDuration: second / 2, jitter: 3 * second},
+	StoreSlow:        {target: OnStore, weight: 1, minDuration: second, jitter: 4 * second},
+	StoreRefusesSome: {target: OnStore, weight: 1, minDuration: second, jitter: 4 * second},
+	StoreLosesWrites: {target: OnStore, weight: 1, minDuration: second, jitter: 3 * second},
+	StoreWritesLate:  {target: OnStore, weight: 1, minDuration: second, jitter: 3 * second},
+	StoreDeaf:        {target: OnStore, weight: 1, minDuration: second, jitter: 3 * second},
+	StoreOlder:       {target: OnStore, weight: 6, minDuration: 4 * second, jitter: 4 * second},
 	StoreForgets:     {weight: 1},
 	TableChanged:     {weight: 3},
 	TableGrown:       {weight: 1},
 	KeyWithdrawn:     {weight: 2},
 	QuotaChanged:     {weight: 1},
-	ZoneDrained:      {target: OnStore, weight: 2, least: 12 * s, longer: 4 * s},
+	ZoneDrained:      {target: OnStore, weight: 2, minDuration: 12 * second, jitter: 4 * second},
 
-	EndpointSlow:    {target: OnPlace, weight: 1, least: s, longer: 4 * s},
-	EndpointMute:    {target: OnPlace, weight: 1, least: s, longer: 4 * s},
-	EndpointFull:    {target: OnPlace, weight: 1, least: s, longer: 3 * s},
-	EndpointFailing: {target: OnPlace, weight: 1, least: s, longer: 3 * s},
-	EndpointLost:    {target: OnPlace, weight: 1, least: s, longer: 3 * s},
-	EndpointBroken:  {target: OnPlace, weight: 1, least: s, longer: 3 * s},
-	EndpointTwice:   {target: OnPlace, weight: 1, least: s, longer: 3 * s},
-	EndpointCrashed: {target: OnPlace, weight: 3, least: s, longer: 2 * s},
-	EndpointMoved:   {target: OnPlace, weight: 1, least: s, longer: s},
-	EndpointLeaving: {target: OnPlace, weight: 2, least: 9 * s, longer: 2 * s},
+	EndpointSlow:    {target: OnPlace, weight: 1, minDuration: second, jitter: 4 * second},
+	EndpointMute:    {target: OnPlace, weight: 1, minDuration: second, jitter: 4 * second},
+	EndpointFull:    {target: OnPlace, weight: 1, minDuration: second, jitter: 3 * second},
+	EndpointFailing: {target: OnPlace, weight: 1, minDuration: second, jitter: 3 * second},
+	EndpointLost:    {target: OnPlace, weight: 1, minDuration: second, jitter: 3 * second},
+	EndpointBroken:  {target: OnPlace, weight: 1, minDuration: second, jitter: 3 * second},
+	EndpointTwice:   {target: OnPlace, weight: 1, minDuration: second, jitter: 3 * second},
+	EndpointCrashed: {target: OnPlace, weight: 3, minDuration: second, jitter: 2 * second},
+	EndpointMoved:   {target: OnPlace, weight: 1, minDuration: second, jitter: second},
+	EndpointLeaving: {target: OnPlace, weight: 2, minDuration: 9 * second, jitter: 2 * second},
 
-	PoisonRequest:    {weight: 2, least: 10 * s, longer: 4 * s},
-	EndpointLimited:  {target: OnPlace, weight: 6, least: 8 * s, longer: 8 * s},
-	EndpointTired:    {target: OnPlace, weight: 4, least: 4 * s, longer: 8 * s},
-	EndpointParting:  {target: OnPlace, weight: 4, least: 6 * s, longer: 4 * s},
+	PoisonRequest:    {weight: 2, minDuration: 10 * second, jitter: 4 * second},
+	EndpointLimited:  {target: OnPlace, weight: 6, minDuration: 8 * second, jitter: 8 * second},
+	EndpointTired:    {target: OnPlace, weight: 4, minDuration: 4 * second, jitter: 8 * second},
+	EndpointParting:  {target: OnPlace, weight: 4, minDuration: 6 * second, jitter: 4 * second},
 	TransfersStalled: {weight: 2},
 }
 
-// asked are the kinds that are drawn only if asked for. Those of a later build stand here too:
-// a seed draws what it drew before.
-var asked = []Kind{ZoneDrained, TransfersStalled, PoisonRequest, EndpointLimited, EndpointTired, EndpointParting, StoreOlder}
+// optional are the kinds that are drawn only if they are asked for. Kinds that were added
+// later are here too, so that a seed still draws the schedule that it drew before.
+var optional = []Kind{ZoneDrained, TransfersStalled, PoisonRequest, EndpointLimited, EndpointTired, EndpointParting, StoreOlder}
 
-// ByDefault are the kinds that are drawn for routed services unless others are asked
-// for: all but those that need parts of the product that a deployment switches on, and those
-// that came later.
+// ByDefault returns the kinds that are drawn for routed services unless others are asked for:
+// all except those that need an optional feature of a deployment and those that were added
+// later.
 func ByDefault() []Kind {
 	var out []Kind
 	for _, k := range All() {
-		if !slices.Contains(asked, k) {
+		if !slices.Contains(optional, k) {
 			out = append(out, k)
 		}
 	}
 	return out
 }
 
-// All are all kinds.
+// All returns all kinds, sorted.
 func All() []Kind {
-	out := make([]Kind, 0, len(traits))
-	for k := range traits {
+	out := make([]Kind, 0, len(kindSpecs))
+	for k := range kindSpecs {
 		out = append(out, k)
 	}
 	slices.Sort(out)
@@ -178,34 +180,34 @@
 type Event struct {
 	At, For time.Duration
 	Kind    Kind
-	// Box and Other are numbers of boxes, and Place of a place; -1 is none.
+	// Box and Other are indexes of boxes and Place is the index of a place; -1 is none.
 	Box, Other, Place int
-	// Draw decides what is left to decide.
+	// Draw is a random number from which the remaining details of the fault derive.
 	Draw uint64
 }
 
-// String is the event as it stands in a schedule's file.
+// String formats the event as in a schedule file.
 func (e Event) String() string {
 	return fmt.Sprintf("%8.3fs %-24s for %6.3fs box %d other %d place %d draw %d",
 		e.At.Seconds(), e.Kind, e.For.Seconds(), e.Box, e.Other, e.Place, e.Draw)
 }
 
-// Away says that the event's box cannot serve while it lasts.
-func (e Event) Away() bool { return traits[e.Kind].away }
+// Away reports whether the event's box can't serve while the event lasts.
+func (e Event) Away() bool { return kindSpecs[e.Kind].unavailable }
 
-// Config says what to draw.
+// Config holds the seed and the limits of a schedule.
 type Config struct {
 	Seed          uint64
 	Boxes, Places int
-	// Begin and End bound when faults begin.
+	// Begin and End bound the start times of faults.
 	Begin, End time.Duration
 	Faults     int
 	Kinds      []Kind
 }
 
-// Make draws a schedule, in the order of time.
+// Make draws a schedule, sorted by start time.
 func Make(cfg Config) []Event {
-	d := drawer{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 1))}
+	d := generator{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 1))}
 	times := make([]time.Duration, cfg.Faults)
 	for i := range times {
 		times[i] = cfg.Begin + time.Duration(d.random.Int64N(int64(max(cfg.End-cfg.Begin, 1))))
@@ -214,26 +216,26 @@
 	for _, at := range times {
 		d.draw(at)
 	}
-	return d.out
+	return d.events
 }
 
-type drawer struct {
+type generator struct {
 	cfg    Config
 	random *rand.Rand
-	out    []Event
+	events []Event
 }
 
-// tries is how often another kind or target is drawn where one does not fit.
-const tries = 20
+// maxTries is how many kinds and targets are drawn for a time until one fits.
+const maxTries = 20
 
-// draw adds one event at a time, if one fits.
-func (d *drawer) draw(at time.Duration) {
-	for range tries {
+// draw adds one event that starts at a time, unless no draw fits.
+func (d *generator) draw(at time.Duration) {
+	for range maxTries {
 		k := d.kind()
-		t := traits[k]
-		e := Event{At: at, Kind: k, For: t.least, Box: -1, Other: -1, Place: -1, Draw: d.random.Uint64()}
-		if t.longer > 0 {
-			e.For += time.Duration(d.random.Int64N(int64(t.longer)))
+		t := kindSpecs[k]
+		e := Event{At: at, Kind: k, For: t.minDuration, Box: -1, Other: -1, Place: -1, Draw: d.random.Uint64()}
+		if t.jitter > 0 {
+			e.For += time.Duration(d.random.Int64N(int64(t.jitter)))
 		}
 		switch t.target {
 		case OnBox:
@@ -245,21 +247,21 @@
 			e.Place = d.random.IntN(d.cfg.Places)
 		}
 		if d.fits(e) {
-			d.out = append(d.out, e)
+			d.events = append(d.events, e)
 			return
 		}
 	}
 }
 
-// kind draws a kind by weight.
-func (d *drawer) kind() Kind {
+// kind draws a kind with probability proportional to its weight.
+func (d *generator) kind() Kind {
 	total := 0
 	for _, k := range d.cfg.Kinds {
-		total += traits[k].weight
+		total += kindSpecs[k].weight
 	}
 	n := d.random.IntN(max(total, 1))
 	for _, k := range d.cfg.Kinds {
-		if n -= traits[k].weight; n < 0 {
+		if n -= kindSpecs[k].weight; n < 0 {
 			return k
 		}
 	}
@@ -267,39 +269,39 @@
 }
 
 const (
-	// mostAway is the part of the boxes, and of the places, that may be struck at
-	// once: the others stay a majority.
-	mostAway = 1.0 / 3
-	// rest is how long a box or place is left alone between two faults.
-	rest = 2 * time.Second
+	// maxAffected is the fraction of the boxes that may be unavailable at once, and of
+	// the places that may be affected at once, so that a majority stays up.
+	maxAffected = 1.0 / 3
+	// quietTime is how long after its end a fault still excludes others of its target.
+	quietTime = 2 * time.Second
 )
 
-// fits says whether an event may come beside those that last.
-func (d *drawer) fits(e Event) bool {
-	t := traits[e.Kind]
+// fits reports whether an event is compatible with those that last at its start.
+func (d *generator) fits(e Event) bool {
+	t := kindSpecs[e.Kind]
 	away, places := 0, 0
-	for _, o := range d.out {
-		other := traits[o.Kind]
-		if o.At+o.For+rest < e.At {
+	for _, o := range d.events {
+		other := kindSpecs[o.Kind]
+		if o.At+o.For+quietTime < e.At {
 			continue
 		}
 		switch {
 		case t.target == OnStore && other.target == OnStore:
 			return false
-		case t.away && other.away && o.Box == e.Box:
+		case t.unavailable && other.unavailable && o.Box == e.Box:
 			return false
 		case e.Place >= 0 && o.Place == e.Place:
 			return false
 		}
-		if other.away {
+		if other.unavailable {
 			away++
 		}
 		if o.Place >= 0 {
 			places++
 		}
 	}
-	if t.away && away >= max(int(mostAway*float64(d.cfg.Boxes)), 1) {
+	if t.unavailable && away >= max(int(maxAffected*float64(d.cfg.Boxes)), 1) {
 		return false
 	}
-	return e.Place < 0 || places < max(int(mostAway*float64(d.cfg.Places)), 1)
+	return e.Place < 0 || places < max(int(maxAffected*float64(d.cfg.Places)), 1)
 }
--- a/bench/soak/schedule/schedule_test.go
+++ b/bench/soak/schedule/schedule_test.go
@@ -15,11 +15,11 @@
 }
 
 func TestMake(t *testing.T) {
-	convey.Convey("A seed gives the same schedule each time, and another seed another one", t, func() {
+	convey.Convey("A seed always gives the same schedule, and another seed a different one", t, func() {
 		convey.So(Make(config(1)), convey.ShouldResemble, Make(config(1)))
 		convey.So(Make(config(1)), convey.ShouldNotResemble, Make(config(2)))
 	})
-	convey.Convey("Every kind comes, and a majority of the boxes is left at every moment", t, func() {
+	convey.Convey("Every kind is drawn, and a majority of the boxes is available at every moment", t, func() {
 		events := Make(config(3))
 		seen := make(map[Kind]int)
 		for i, e := range events {
