--- a/bench/soak/boxes.go
+++ b/bench/soak/boxes.go
@@ -20,44 +20,44 @@
 	"runridge.example/runridge/transport/operatorhttp"
 )
 
-// Settings of the boxes: the pages' bounds where they have some, but for budgets and
-// quotas, which are so small that the load presses them.
+// Settings of the boxes. They follow the bounds of the platform's specification, except for
+// budgets and quotas, which are so small that the load exhausts them.
 const (
-	storeName    = "store"
-	stopTime     = 8 * time.Second
-	linger       = time.Second
-	retryRatio   = 0.02
-	retrySlack   = 10
-	retryWindow  = 10 * time.Second
-	quotaOverage = 0.1
-	quotaSlack   = 20
-	quotaWindow  = 8 * time.Second
-	coldOverage  = 1.5
-	coldSlack    = 5
-	lease        = 3 * time.Second
-	thaw         = 300 * time.Millisecond
-	readyBound   = 15 * time.Second
-	readyLook    = 20 * time.Millisecond
+	storeName     = "store"
+	stopTime      = 8 * time.Second
+	linger        = time.Second
+	retryRatio    = 0.02
+	retrySlack    = 10
+	retryWindow   = 10 * time.Second
+	quotaOverage  = 0.1
+	quotaSlack    = 20
+	quotaWindow   = 8 * time.Second
+	coldOverage   = 1.5
+	coldSlack     = 5
+	lease         = 3 * time.Second
+	thaw          = 300 * time.Millisecond
+	readyBound    = 15 * time.Second
+	readyInterval = 20 * time.Millisecond
 )
 
 func boxName(i int) string { return fmt.Sprintf("box-%d", i+1) }
 
-// box is a router process with the links to it and the one to the store.
+// box is a router process with the links of callers and peers to it.
 type box struct {
 	name, zone     string
 	callers, peers *proxy.Proxy
 	settings       setting.Box
-	// busy is held by the one fault that stops, kills or pauses the box.
-	busy chan struct{}
+	// reserved is held by the one fault that stops, kills or pauses the box.
+	reserved chan struct{}
 
 	mutex   sync.Mutex
 	process *process.Process
-	// highest is the newest route of a table that the box has answered on.
-	highest int
+	// newestVersion is the newest table version on whose route the box has answered.
+	newestVersion int
 }
 
-// start starts everything and waits until each box is ready.
-func (r *run) start(ctx context.Context) error {
+// startAll starts the site and the boxes and waits until each box is ready.
+func (r *run) startAll(ctx context.Context) error {
 	if err := r.startPlaces(); err != nil {
 		return err
 	}
@@ -72,23 +72,23 @@
 			err = r.startBox(b)
 		}
 		if err != nil {
-			r.stop()
+			r.stopAll()
 			return err
 		}
 	}
 	for _, b := range r.boxes {
 		if err := b.awaitReady(ctx); err != nil {
-			r.stop()
+			r.stopAll()
 			return err
 		}
 	}
 	return nil
 }
 
-// newBox opens a box's links.
+// newBox opens the links of a box and builds its settings.
 func (r *run) newBox(i int, store string) (*box, error) {
 	name := boxName(i)
-	b := &box{name: name, zone: zones[i%len(zones)], busy: make(chan struct{}, 1)}
+	b := &box{name: name, zone: zones[i%len(zones)], reserved: make(chan struct{}, 1)}
 	var err error
 	if b.callers, err = r.net.Listen(proxy.Caller, name, func(net.Conn) string { return "callers" }); err != nil {
 		return nil, err
@@ -118,7 +118,8 @@
 	return b, nil
 }
 
-// startBox starts a box's process, on ports of its choice.
+// startBox starts the process of a box, on ports that it chooses itself, and points the
+// links to them.
 func (r *run) startBox(b *box) error {
 	p, err := process.Start(r.cfg.Router, r.cfg.Dir, b.settings)
 	if err != nil {
@@ -133,23 +134,23 @@
 	return nil
 }
 
-// ended takes note that a box's process is no more.
-func (r *run) ended(b *box) {
+// markStopped detaches the links from a box whose process has ended.
+func (r *run) markStopped(b *box) {
 	b.callers.SetTarget("")
 	b.peers.SetTarget("")
-	r.owners.Forget(b.now().ID())
+	r.owners.Forget(b.current().ID())
 }
 
-// now is the box's process.
-func (b *box) now() *process.Process {
+// current returns the current process of the box.
+func (b *box) current() *process.Process {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.process
 }
 
-// awaitReady waits until the box takes requests.
+// awaitReady waits until the box is ready for requests. It errors after readyBound.
 func (b *box) awaitReady(ctx context.Context) error {
-	for begin := time.Now(); time.Since(begin) < readyBound && ctx.Err() == nil; time.Sleep(readyLook) {
+	for begin := time.Now(); time.Since(begin) < readyBound && ctx.Err() == nil; time.Sleep(readyInterval) {
 		if b.ready() {
 			return nil
 		}
@@ -157,9 +158,9 @@
 	return fmt.Errorf("%s is not ready after %s", b.name, readyBound)
 }
 
-// ready asks as the platform's balancer does.
+// ready reports whether the box is ready, by the same check as the platform's load balancer.
 func (b *box) ready() bool {
-	resp, err := statusClient.Get("http://" + b.now().ReadyAddr + readyPath)
+	resp, err := statusClient.Get("http://" + b.current().ReadyAddr + readyPath)
 	if err != nil {
 		return false
 	}
@@ -171,10 +172,10 @@
 
 var statusClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// status asks as an operator does.
+// status fetches the status page for operators.
 func (b *box) status() (operatorhttp.Status, error) {
 	var s operatorhttp.Status
-	resp, err := statusClient.Get("http://" + b.now().OperatorAddr + operatorhttp.PathStatus)
+	resp, err := statusClient.Get("http://" + b.current().OperatorAddr + operatorhttp.PathStatus)
 	if err != nil {
 		return s, err
 	}
@@ -182,10 +183,10 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// stop ends all processes of the run.
-func (r *run) stop() {
+// stopAll ends all processes of the run.
+func (r *run) stopAll() {
 	for _, b := range r.boxes {
-		if p := b.now(); p != nil {
+		if p := b.current(); p != nil {
 			_ = p.Resume()
 			p.Kill()
 		}
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -14,11 +14,11 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// act brings one event about and returns when it is over; what it struck is noted
-// before.
-type act func(ctx context.Context, e schedule.Event)
+// action injects the fault of an event and returns when it is over. It records which boxes and
+// places the fault affects before they are affected.
+type action func(ctx context.Context, e schedule.Event)
 
-func (r *run) acted(k schedule.Kind) act {
+func (r *run) actionFor(k schedule.Kind) action {
 	switch k {
 	case schedule.BoxStopped:
 		return r.stopBox
@@ -29,9 +29,9 @@
 	case schedule.BoxHangup:
 		return r.hangUp
 	case schedule.RollingRestart:
-		return r.roll
+		return r.rollingRestart
 	case schedule.BoxCut, schedule.LinkOneWay, schedule.LinkSilent, schedule.LinkReset, schedule.LinkDelayed, schedule.CallersReset:
-		return r.linkFault
+		return r.faultLinks
 	case schedule.EndpointCut:
 		return r.cutEndpoint
 	case schedule.TableChanged, schedule.TableGrown, schedule.KeyWithdrawn, schedule.QuotaChanged:
@@ -47,36 +47,37 @@
 	case schedule.EndpointLimited:
 		return r.nameLimit
 	case schedule.EndpointTired:
-		return r.tireEndpoint
+		return r.askForRest
 	case schedule.EndpointParting:
-		return r.partEndpoint
+		return r.announceLeaving
 	case schedule.StoreOlder:
-		return r.returnOlder
+		return r.restoreOlder
 	}
-	if _, ok := manners[k]; ok {
-		return r.behave
+	if _, ok := mannerOf[k]; ok {
+		return r.misbehave
 	}
 	return r.storeFault
 }
 
-// begin brings an event about beside the others.
-func (r *run) begin(ctx context.Context, e schedule.Event) {
+// startEvent injects the fault of an event, concurrently with others, and logs it.
+func (r *run) startEvent(ctx context.Context, e schedule.Event) {
 	r.mutex.Lock()
 	r.result.Faults[e.Kind]++
 	r.mutex.Unlock()
 	_, _ = fmt.Fprintf(r.cfg.Out, "soak at=%s %s\n", time.Now().Format("15:04:05.000"), e)
-	r.acts.Go(func() { r.acted(e.Kind)(ctx, e) })
+	r.active.Go(func() { r.actionFor(e.Kind)(ctx, e) })
 }
 
-// strike notes a fault, from now on if it does not say when it began; the function that it returns notes its end.
-func (r *run) strike(f check.Fault) (ended func()) {
+// recordFault records a fault, which begins now unless its From is set. The function that it
+// returns records its end.
+func (r *run) recordFault(f check.Fault) (finish func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	i := len(r.record.Faults)
 	if f.From.IsZero() {
 		f.From = time.Now()
 	}
-	f.To = time.Now().Add(forever)
+	f.To = time.Now().Add(openEnded)
 	r.record.Faults = append(r.record.Faults, f)
 	return func() {
 		r.mutex.Lock()
@@ -85,38 +86,39 @@
 	}
 }
 
-// forever is the end of a fault that lasts yet.
-const forever = 24 * time.Hour
+// openEnded is how far in the future the end of a fault is that still lasts.
+const openEnded = 24 * time.Hour
 
-// skip counts an event that could not be brought about since another one strikes the
-// same thing.
+// skip counts an event that could not be injected, for example because another one affects the
+// same target.
 func (r *run) skip() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.result.Skipped++
 }
 
-// take holds a box or a place for one fault; false if another has it.
-func (r *run) take(busy chan struct{}) (free func(), ok bool) {
+// reserve reserves a box or a place for one fault. It returns false and counts a skipped event
+// if another fault has it.
+func (r *run) reserve(reserved chan struct{}) (release func(), ok bool) {
 	select {
-	case busy <- struct{}{}:
-		return func() { <-busy }, true
+	case reserved <- struct{}{}:
+		return func() { <-reserved }, true
 	default:
 		r.skip()
 		return nil, false
 	}
 }
 
-// storeFaults are what the store itself does.
+// storeFaults maps kinds to the faults that the store itself implements.
 var storeFaults = map[schedule.Kind]standin.Fault{
 	schedule.StoreBusy: standin.Busy, schedule.StoreSilent: standin.Silent, schedule.StoreReset: standin.Reset,
 	schedule.StoreLosesWrites: standin.LoseWrites, schedule.StoreWritesLate: standin.LateWrites,
 }
 
-// storeFault has a fault of the store for a time.
+// storeFault applies a fault of the store while the event lasts.
 func (r *run) storeFault(ctx context.Context, e schedule.Event) {
 	none := &standin.None{}
-	defer r.strike(check.Fault{Kind: string(e.Kind), Store: true})()
+	defer r.recordFault(check.Fault{Kind: string(e.Kind), Store: true})()
 	switch e.Kind {
 	case schedule.StoreForgets:
 		_ = r.site.call("ForgetHistory", standin.None{}, none)
@@ -124,7 +126,7 @@
 		_ = r.site.call("DeafenStore", true, none)
 		defer func() { _ = r.site.call("DeafenStore", false, none) }()
 	case schedule.StoreSlow:
-		defer r.net.Apply(proxy.Match{Kind: proxy.Platform}, proxy.Fault{Delay: longestDelay})()
+		defer r.net.Apply(proxy.Match{Kind: proxy.Platform}, proxy.Fault{Delay: maxLinkDelay})()
 	case schedule.StoreRefusesSome:
 		for i := range r.boxes {
 			if e.Draw>>(i%64)&1 == 1 {
@@ -139,46 +141,46 @@
 }
 
 const (
-	// leastAway and awaySpread bound how long a store is away that comes back older, and
-	// rewritten is after how long what the operator and the endpoints had written stands there
-	// again.
-	leastAway  = 300 * time.Millisecond
-	awaySpread = 2 * time.Second
-	rewritten  = time.Second
+	// A store that is restored from an older copy is first unavailable for minOutage plus
+	// a random part of outageJitter. rewriteDelay is how long after the restore the operator
+	// and the endpoints write again what they had written.
+	minOutage    = 300 * time.Millisecond
+	outageJitter = 2 * time.Second
+	rewriteDelay = time.Second
 )
 
-// returnOlder takes the store away for a time and has it come back from a copy.
-func (r *run) returnOlder(ctx context.Context, e schedule.Event) {
+// restoreOlder copies the store, makes it unavailable later on and restores it from the copy.
+func (r *run) restoreOlder(ctx context.Context, e schedule.Event) {
 	none := &standin.None{}
-	defer r.strike(check.Fault{Kind: string(e.Kind), Store: true})()
+	defer r.recordFault(check.Fault{Kind: string(e.Kind), Store: true})()
 	_ = r.site.call("CopyStore", standin.None{}, none)
-	away := leastAway + time.Duration(e.Draw%uint64(awaySpread))
-	// What is written until it is away is lost.
-	sleepUntil(ctx, time.Now().Add(e.For-away-rewritten))
+	outage := minOutage + time.Duration(e.Draw%uint64(outageJitter))
+	// Whatever is written until the outage is lost.
+	sleepUntil(ctx, time.Now().Add(e.For-outage-rewriteDelay))
 	_ = r.site.call("SetStore", standin.Reset, none)
-	sleepUntil(ctx, time.Now().Add(away))
+	sleepUntil(ctx, time.Now().Add(outage))
 	_ = r.site.call("RestoreStore", standin.None{}, none)
 	_ = r.site.call("SetStore", standin.Healthy, none)
-	sleepUntil(ctx, time.Now().Add(rewritten))
+	sleepUntil(ctx, time.Now().Add(rewriteDelay))
 	_ = r.site.call("Rewrite", standin.None{}, none)
 }
 
-// changeTable changes the configuration once.
+// changeTable has one change of the configuration accepted.
 func (r *run) changeTable(_ context.Context, e schedule.Event) {
 	err := r.change(func(o *operator) {
 		switch e.Kind {
 		case schedule.TableGrown:
-			o.grown = grownRoutes - o.grown
+			o.addedRoutes = largeTableRoutes - o.addedRoutes
 		case schedule.KeyWithdrawn:
 			o.rotating = append(o.rotating, rotatingKey(len(o.rotating)))
 		case schedule.QuotaChanged:
-			o.rate = leastRate + float64(e.Draw%rateSpread)
+			o.rate = minRate + float64(e.Draw%rateJitter)
 		}
 	})
 	r.report.Note("table_accepted", err == nil, "%s: %v", e.Kind, err)
 }
 
-// drainZone drains an availability zone and takes it back.
+// drainZone drains an availability zone and ends the drain when the event ends.
 func (r *run) drainZone(ctx context.Context, e schedule.Event) {
 	zone := zones[e.Draw%uint64(len(zones))]
 	if err := r.site.call("Drain", standin.Act{Place: zone, On: true}, &standin.None{}); err != nil {
--- a/bench/soak/judge.go
+++ b/bench/soak/judge.go
@@ -14,8 +14,8 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// judgeStops judges that planned stops break no answer that an endpoint gives.
-func (r *run) judgeStops() {
+// checkPlannedStops checks that planned stops break no answer of a request that an endpoint ran.
+func (r *run) checkPlannedStops() {
 	arrivals := make(map[string]string)
 	for _, a := range r.record.Sight.Arrivals {
 		if a.Fate == standin.Ran && a.Step == standin.StepRun {
@@ -30,7 +30,7 @@
 			if a.Box != f.Boxes[0] || a.Left || a.Ended.Before(f.From) || a.Begun.After(f.To) || arrivals[a.ID] == "" {
 				continue
 			}
-			if r.otherFault(i, a, check.PlaceOf(arrivals[a.ID])) {
+			if r.otherFaultOverlaps(i, a, check.PlaceOf(arrivals[a.ID])) {
 				continue
 			}
 			r.report.Note("stop_breaks_nothing", a.Status == http.StatusOK && a.Whole, "%s on %s begun %s after the stop of %s, ended %s after it, got %d",
@@ -39,17 +39,18 @@
 	}
 }
 
-// otherFault says whether another fault than one touched an answer's box or place.
-func (r *run) otherFault(one int, a check.Answer, place string) bool {
+// otherFaultOverlaps reports whether a fault other than the one at an index affected the box or
+// the place of an answer while its request was open.
+func (r *run) otherFaultOverlaps(index int, a check.Answer, place string) bool {
 	return slices.ContainsFunc(r.record.Faults, func(f check.Fault) bool {
-		same := f.Kind == r.record.Faults[one].Kind && f.From.Equal(r.record.Faults[one].From)
-		touches := f.Machine || f.Place == place || slices.Contains(f.Boxes, a.Box)
-		return !same && touches && f.From.Before(a.Ended) && f.To.Add(check.Aftermath).After(a.Begun)
+		same := f.Kind == r.record.Faults[index].Kind && f.From.Equal(r.record.Faults[index].From)
+		affects := f.Machine || f.Place == place || slices.Contains(f.Boxes, a.Box)
+		return !same && affects && f.From.Before(a.Ended) && f.To.Add(check.Aftermath).After(a.Begun)
 	})
 }
 
-// Goodput is the part of the requests at other boxes that were answered while one
-// box was away and nothing else was wrong.
+// Goodput counts the requests at the other boxes, and those of them that were answered, while
+// one box was unavailable and no other fault lasted.
 type Goodput struct {
 	Kind           string
 	Box            string
@@ -57,28 +58,29 @@
 }
 
 const (
-	// awayFor is how long a box has to be away alone for its time to be judged, and
-	// fewest how many requests.
-	awayFor = 500 * time.Millisecond
-	fewest  = 30
-	// leastGoodput is the part that has to be answered: the box's slots are not lost,
-	// only what it was home of finds another home within two seconds.
-	leastGoodput = 0.7
+	// minAlone is how long a box has to be unavailable, as the only fault, for the
+	// goodput to be checked, and minRequests how many requests there have to be.
+	minAlone    = 500 * time.Millisecond
+	minRequests = 30
+	// minGoodput is the fraction of requests that must be answered. The endpoints' slots
+	// stay usable; only the groups whose home was the box need a new home, within two
+	// seconds.
+	minGoodput = 0.7
 )
 
-// judgeGoodput judges the service at other boxes while one is dead or cut off.
-func (r *run) judgeGoodput() {
+// checkGoodput checks the goodput at the other boxes while one is killed, paused or cut off.
+func (r *run) checkGoodput() {
 	for i, f := range r.record.Faults {
 		if f.Kind != string(schedule.BoxKilled) && f.Kind != string(schedule.BoxCut) && f.Kind != string(schedule.BoxPaused) {
 			continue
 		}
-		if f.To.Sub(f.From) < awayFor || r.overlapped(i) {
+		if f.To.Sub(f.From) < minAlone || r.overlapsOtherFault(i) {
 			continue
 		}
 		g := Goodput{Kind: f.Kind, Box: f.Boxes[0]}
 		for _, a := range r.record.Answers {
-			counts := a.Begun.After(f.From) && a.Begun.Before(f.To) && a.Box != g.Box && !a.Left && a.Key != limitedKey && a.Poison == ""
-			if !counts || a.Status == http.StatusUnauthorized {
+			included := a.Begun.After(f.From) && a.Begun.Before(f.To) && a.Box != g.Box && !a.Left && a.Key != limitedKey && a.Poison == ""
+			if !included || a.Status == http.StatusUnauthorized {
 				continue
 			}
 			g.Asked++
@@ -86,43 +88,43 @@
 				g.Success++
 			}
 		}
-		if g.Asked < fewest {
+		if g.Asked < minRequests {
 			continue
 		}
 		r.result.Goodput = append(r.result.Goodput, g)
-		r.report.Note("goodput_with_one_box_away", float64(g.Success) >= leastGoodput*float64(g.Asked), "%s of %s: %d of %d", g.Kind, g.Box, g.Success, g.Asked)
+		r.report.Note("goodput_with_one_box_away", float64(g.Success) >= minGoodput*float64(g.Asked), "%s of %s: %d of %d", g.Kind, g.Box, g.Success, g.Asked)
 	}
 }
 
-// overlapped says whether another fault that touches service lasted at the time of
-// one.
-func (r *run) overlapped(one int) bool {
-	f := r.record.Faults[one]
+// overlapsOtherFault reports whether another fault that can affect requests overlaps the one at
+// an index.
+func (r *run) overlapsOtherFault(index int) bool {
+	f := r.record.Faults[index]
 	for i, o := range r.record.Faults {
-		touches := len(o.Boxes) > 0 || o.Place != "" || o.Store || o.Machine
-		if i != one && touches && o.From.Before(f.To) && o.To.Add(check.Aftermath).After(f.From) {
+		affects := len(o.Boxes) > 0 || o.Place != "" || o.Store || o.Machine
+		if i != index && affects && o.From.Before(f.To) && o.To.Add(check.Aftermath).After(f.From) {
 			return true
 		}
 	}
 	return false
 }
 
-// judgeRuns judges that a box's process has not ended on its own. No fault holds the
-// box.
-func (r *run) judgeRuns(b *box) {
+// checkProcess checks that the process of a box has not ended on its own. No other fault may
+// stop the box meanwhile.
+func (r *run) checkProcess(b *box) {
 	select {
-	case <-b.now().Done():
+	case <-b.current().Done():
 		r.report.Note("runs_until_stopped", false, "the process of %s ended on its own", b.name)
 	default:
 		r.report.Note("runs_until_stopped", true, "")
 	}
 }
 
-// judgeBoxes judges that each box still runs, and that no log holds a key.
-func (r *run) judgeBoxes() {
+// checkBoxes checks that each box still runs and that no log contains a key.
+func (r *run) checkBoxes() {
 	for _, b := range r.boxes {
-		r.judgeRuns(b)
-		text, err := b.now().Log()
+		r.checkProcess(b)
+		text, err := b.current().Log()
 		r.report.Note("no_key_in_logs", err == nil && !strings.Contains(text, "-of-the-soak"), "the log of %s holds a key (%v)", b.name, err)
 	}
 }
--- a/bench/soak/load.go
+++ b/bench/soak/load.go
@@ -19,40 +19,41 @@
 )
 
 const (
-	// requestBound is when a caller that has not left takes an answer for missing.
-	requestBound = 20 * time.Second
-	// refusedPause is how long a caller waits after anything but an answer, and
-	// leastPause and pauseSpread between two requests.
-	refusedPause = 50 * time.Millisecond
-	leastPause   = 20 * time.Millisecond
-	pauseSpread  = 120 * time.Millisecond
+	// maxRequestTime is when a caller that doesn't leave treats the answer as missing.
+	maxRequestTime = 20 * time.Second
+	// failurePause is how long a caller waits after a failed request. Between two
+	// requests it waits minPause plus a random part of pauseJitter.
+	failurePause = 50 * time.Millisecond
+	minPause     = 20 * time.Millisecond
+	pauseJitter  = 120 * time.Millisecond
 	leaveOneIn   = 15
-	leaveWithin  = 400 * time.Millisecond
-	// longWork is how long a run takes whose caller leaves: what goes on is seen.
-	longWork     = 3 * time.Second
-	oldKeyOneIn  = 3
-	leastPrompt  = 200
-	promptSpread = 4000
-	outputTokens = streamEvents
+	maxLeaveTime = 400 * time.Millisecond
+	// abandonedWork is how long a run takes if its caller leaves: long enough that work
+	// that continues after the caller left is seen.
+	abandonedWork = 3 * time.Second
+	oldKeyOneIn   = 3
+	minPrompt     = 200
+	promptJitter  = 4000
+	outputTokens  = streamEvents
 )
 
-// work is one caller: it keeps one connection to one box for as long as that lasts,
-// and sends one request after the other.
-func (r *run) work(ctx context.Context, i int) {
+// runCaller is one caller. It sends one request after the other to one box, over one
+// connection as long as that lasts.
+func (r *run) runCaller(ctx context.Context, i int) {
 	b := r.boxes[i%len(r.boxes)]
 	random := rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+i)))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
-		a := r.draw(b, random)
+		a := r.drawRequest(b, random)
 		a.ID = fmt.Sprintf("%s%s%d-%d", b.name, check.IDSeparator, i, n)
-		r.ask(client, b, random, a)
-		time.Sleep(leastPause + time.Duration(random.Int64N(int64(pauseSpread))))
+		r.sendRequest(client, b, random, a)
+		time.Sleep(minPause + time.Duration(random.Int64N(int64(pauseJitter))))
 	}
 }
 
-// draw picks a route and a key.
-func (r *run) draw(b *box, random *rand.Rand) check.Answer {
+// drawRequest draws the route and the key of a request.
+func (r *run) drawRequest(b *box, random *rand.Rand) check.Answer {
 	a := check.Answer{Box: b.name, MaxRuns: 2, Timeout: routeTimeout, Key: ampleKey}
 	switch n := random.IntN(100); {
 	case n < 22:
@@ -63,10 +64,10 @@
 		a.Route, a.MaxRuns = routeStream, 1
 	case n < 85:
 		a.Route = routeResumable
-	case n < 95 || b.newest() == 0:
+	case n < 95 || b.newestRoute() == 0:
 		a.Route, a.Key = routeOpen, ""
 	default:
-		a.Route, a.Key = routeOfTable(b.newest()), ""
+		a.Route, a.Key = routeOfTable(b.newestRoute()), ""
 	}
 	if a.Key == "" {
 		return a
@@ -75,7 +76,7 @@
 	case n < 30 && !isStream(a.Route):
 		a.Key = limitedKey
 	case n < 40:
-		a.Key = r.operator.rotatingNow(random.IntN(oldKeyOneIn) == 0, random)
+		a.Key = r.operator.pickRotatingKey(random.IntN(oldKeyOneIn) == 0, random)
 	case n < 50 && r.cfg.Features.Regions:
 		a.Key = northKey
 	case n < 60 && r.cfg.Features.Regions:
@@ -86,47 +87,47 @@
 
 func isStream(route string) bool { return route == routeStream || route == routeResumable }
 
-// newest is the newest route of a table that the box has answered on; 0 is none.
-func (b *box) newest() int {
+// newestRoute returns the newest table version on whose route the box has answered; 0 is none.
+func (b *box) newestRoute() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.highest
+	return b.newestVersion
 }
 
-// answeredOn notes that the box knows the table of a version.
-func (b *box) answeredOn(version int) {
+// noteVersion records that the box knows the table of a version.
+func (b *box) noteVersion(version int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.highest = max(b.highest, version)
+	b.newestVersion = max(b.newestVersion, version)
 }
 
-// ask sends one request and notes what its caller sees.
-func (r *run) ask(client *http.Client, b *box, random *rand.Rand, a check.Answer) {
-	patience := requestBound
+// sendRequest sends one request and records what its caller sees.
+func (r *run) sendRequest(client *http.Client, b *box, random *rand.Rand, a check.Answer) {
+	patience := maxRequestTime
 	leaves := random.IntN(leaveOneIn) == 0
 	if leaves {
-		patience = time.Duration(1 + random.Int64N(int64(leaveWithin)))
+		patience = time.Duration(1 + random.Int64N(int64(maxLeaveTime)))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	ask := standin.Ask{Address: b.callers.Addr(), Route: a.Route, ID: a.ID, Key: a.Key}
 	if leaves {
-		ask.Work = longWork
+		ask.Work = abandonedWork
 	}
 	if isStream(a.Route) {
-		ask.Prompt, ask.Output = leastPrompt+random.IntN(promptSpread), outputTokens
+		ask.Prompt, ask.Output = minPrompt+random.IntN(promptJitter), outputTokens
 	}
 	a.Begun = time.Now()
 	exchange(ctx, client, ask, &a)
 	a.Ended = time.Now()
 	a.Left = leaves && ctx.Err() != nil && !a.Whole
-	r.note(a)
+	r.recordAnswer(a)
 	if a.Status != http.StatusOK && !a.Left {
-		time.Sleep(refusedPause)
+		time.Sleep(failurePause)
 	}
 }
 
-// exchange sends a request and reads its answer.
+// exchange sends a request, reads its answer and stores the outcome in a.
 func exchange(ctx context.Context, client *http.Client, ask standin.Ask, a *check.Answer) {
 	req, err := ask.Request(ctx)
 	if err != nil {
@@ -143,15 +144,15 @@
 	a.Whole = err == nil
 	a.TakenForPoison = strings.Contains(string(body), string(lifecycle.ReasonPoison))
 	if a.Status == http.StatusOK && a.Whole {
-		a.Wrong = wrong(a, standin.Signer(resp.Header), string(body))
+		a.Wrong = mismatch(a, standin.Signer(resp.Header), string(body))
 	}
 }
 
-// wrong says what is wrong with a whole answer; empty is nothing.
-func wrong(a *check.Answer, signer, body string) string {
+// mismatch describes what is wrong with a complete answer. It is empty if nothing is.
+func mismatch(a *check.Answer, signer, body string) string {
 	if !isStream(a.Route) {
 		if want := "answer of " + signer + " to " + a.ID; body != want {
-			return fmt.Sprintf("got %q in place of %q", body, want)
+			return fmt.Sprintf("got %q, want %q", body, want)
 		}
 		return ""
 	}
@@ -160,13 +161,13 @@
 		_, _ = fmt.Fprintf(&want, "id: %d\ndata: %d of %s\n\n", i, i, a.ID)
 	}
 	if body != want.String() {
-		return "events are missing, out of order or another's: " + strconv.Quote(body)
+		return "events are missing, out of order or of another request: " + strconv.Quote(body)
 	}
 	return ""
 }
 
-// note keeps what a caller saw.
-func (r *run) note(a check.Answer) {
+// recordAnswer records what a caller saw.
+func (r *run) recordAnswer(a check.Answer) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.record.Answers = append(r.record.Answers, a)
--- a/bench/soak/operator.go
+++ b/bench/soak/operator.go
@@ -31,35 +31,35 @@
 	limitedKey = "limited-key-of-the-soak"
 	northKey   = "northern-key-of-the-soak"
 
-	routeTimeout = 5 * time.Second
-	routeTarget  = time.Second
-	coldPace     = 4
-	leastRate    = 6
-	rateSpread   = 6
-	grownRoutes  = 1500
+	routeTimeout     = 5 * time.Second
+	routeTarget      = time.Second
+	coldPace         = 4
+	minRate          = 6
+	rateJitter       = 6
+	largeTableRoutes = 1500
 )
 
-// operator holds what the operator has accepted.
+// operator holds the operator's accepted configuration.
 type operator struct {
-	mutex    sync.Mutex
-	features Features
-	version  int
-	grown    int
-	rate     float64
-	// rotating are the keys that have been given out, the newest last.
+	mutex       sync.Mutex
+	features    Features
+	version     int
+	addedRoutes int
+	rate        float64
+	// rotating are the keys that the account with rotating keys has had, the newest last.
 	rotating []string
 }
 
 func newOperator(cfg Config) *operator {
-	return &operator{features: cfg.Features, rate: leastRate + rateSpread, rotating: []string{rotatingKey(0)}}
+	return &operator{features: cfg.Features, rate: minRate + rateJitter, rotating: []string{rotatingKey(0)}}
 }
 
 func rotatingKey(i int) string { return fmt.Sprintf("rotating-key-%d-of-the-soak", i) }
 
-// routeOfTable is the route that the table of a version added.
+// routeOfTable returns the name of the route that the table of a version added.
 func routeOfTable(version int) string { return fmt.Sprintf("table%d", version) }
 
-// configuration is what is accepted now. The mutex is held.
+// configuration returns the configuration to be accepted. The mutex must be held.
 func (o *operator) configuration() standin.Configuration {
 	route := func(name, kind, service string, attempts int) standin.Route {
 		return standin.Route{
@@ -79,7 +79,7 @@
 		},
 		Services: []standin.Service{
 			{Name: plainService, Slots: slots},
-			{Name: modelService, Engines: true, Slots: slots, HoldS: handleHold.Seconds(), SwitchS: switchTime.Seconds()},
+			{Name: modelService, Engines: true, Slots: slots, HoldS: resultLifetime.Seconds(), SwitchS: switchTime.Seconds()},
 		},
 		Accounts: []standin.Account{
 			{Name: accountAmple, Keys: []string{ampleKey}},
@@ -103,23 +103,24 @@
 		added.Public = true
 		c.Routes = append(c.Routes, added)
 	}
-	for i := range o.grown {
+	for i := range o.addedRoutes {
 		c.Routes = append(c.Routes, route(fmt.Sprintf("grown%d", i), "safe", plainService, 2))
 	}
 	return c
 }
 
-// tableChange is a table that was accepted.
+// tableChange is a table that the platform has accepted.
 type tableChange struct {
 	revision uint64
 	version  int
 	at       time.Time
 }
 
-// configure has the operator's configuration accepted as it is.
+// configure submits the operator's configuration unchanged, as a new version.
 func (r *run) configure() error { return r.change(func(*operator) {}) }
 
-// change changes the operator's configuration and has it accepted.
+// change modifies the operator's configuration, submits it as a new version and records what the
+// checks need to know: the table, the quota, and the keys issued and withdrawn.
 func (r *run) change(do func(*operator)) error {
 	r.operator.mutex.Lock()
 	defer r.operator.mutex.Unlock()
@@ -149,8 +150,9 @@
 	return nil
 }
 
-// rotatingNow is the key of the account whose key changes, or any that it had.
-func (o *operator) rotatingNow(old bool, random *rand.Rand) string {
+// pickRotatingKey returns the current key of the account with rotating keys or, if old is set,
+// a random one of all its keys so far.
+func (o *operator) pickRotatingKey(old bool, random *rand.Rand) string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if old {
--- a/bench/soak/output.go
+++ b/bench/soak/output.go
@@ -10,7 +10,7 @@
 	"runridge.example/runridge/bench/soak/check"
 )
 
-// Print writes what there was in the run; the report has what was judged.
+// Print writes the counts of a run. The results of the checks are in the report.
 func (r Result) Print(w io.Writer) {
 	check.PrintCounts(w, "faults", r.Faults)
 	check.PrintCounts(w, "requests", r.Statuses)
--- a/bench/soak/poison.go
+++ b/bench/soak/poison.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// poisonMark is what ends an endpoint that runs a request with it in its body.
+	// poisonMark in the body of a request crashes each endpoint that runs it.
 	poisonMark = "too much for an endpoint"
-	// poisonEvery is how long after an answer a poison request comes again.
-	poisonEvery = 300 * time.Millisecond
-	// fallenFor is how long an endpoint is away that a poison request has ended.
-	fallenFor = 1500 * time.Millisecond
-	// contact is the pages' bound within which boxes that hear each other have to know
-	// what one of them knows.
-	contact = 3 * time.Second
+	// poisonInterval is how long after an answer a poison request is sent again.
+	poisonInterval = 300 * time.Millisecond
+	// crashOutage is how long after a crash by a poison request an endpoint is started again.
+	crashOutage = 1500 * time.Millisecond
+	// contactBound is how soon boxes that can reach each other must share what one of them
+	// knows, by the platform's specification.
+	contactBound = 3 * time.Second
 )
 
-// repeatPoison sends one poison request again and again, under a new id each time and at a
-// box that is drawn each time, and starts the endpoints anew that it has ended.
+// repeatPoison sends one poison request repeatedly, each time with a new id to a box drawn at
+// random, and restarts the endpoints that it has crashed.
 func (r *run) repeatPoison(ctx context.Context, e schedule.Event) {
 	name := fmt.Sprintf("poison%d", e.Draw)
 	random := rand.New(rand.NewPCG(r.cfg.Seed, e.Draw))
@@ -43,58 +43,59 @@
 			a.Route, a.MaxRuns = routeStream, 1
 		}
 		r.sendPoison(client, b, a)
-		r.reviveFallen(ctx)
-		sleepUntil(ctx, time.Now().Add(poisonEvery))
+		r.restartCrashed(ctx)
+		sleepUntil(ctx, time.Now().Add(poisonInterval))
 	}
 }
 
-// sendPoison sends one try of a poison request and notes what its caller sees.
+// sendPoison sends one attempt of a poison request and records what its caller sees.
 func (r *run) sendPoison(client *http.Client, b *box, a check.Answer) {
-	ctx, cancel := context.WithTimeout(context.Background(), requestBound)
+	ctx, cancel := context.WithTimeout(context.Background(), maxRequestTime)
 	defer cancel()
 	ask := standin.Ask{Address: b.callers.Addr(), Route: a.Route, ID: a.ID, Key: a.Key, Body: poisonMark + " " + a.Poison}
 	if isStream(a.Route) {
-		ask.Prompt, ask.Output = leastPrompt, outputTokens
+		ask.Prompt, ask.Output = minPrompt, outputTokens
 	}
 	a.Begun = time.Now()
 	exchange(ctx, client, ask, &a)
 	a.Ended = time.Now()
-	r.note(a)
+	r.recordAnswer(a)
 }
 
-// reviveFallen starts the endpoints anew that requests have ended since it was last asked to.
-func (r *run) reviveFallen(ctx context.Context) {
-	var fallen []standin.Fallen
-	if err := r.site.call("Fallen", standin.None{}, &fallen); err != nil {
+// restartCrashed restarts, in the background, the endpoints that requests have crashed since
+// the last call.
+func (r *run) restartCrashed(ctx context.Context) {
+	var crashed []standin.Fallen
+	if err := r.site.call("Fallen", standin.None{}, &crashed); err != nil {
 		r.report.Note("endpoint_restart", false, "%v", err)
 	}
-	for _, f := range fallen {
-		ended := r.strike(check.Fault{Kind: string(schedule.PoisonRequest), Place: f.Place, From: f.At})
-		r.acts.Go(func() {
-			defer ended()
-			r.revive(ctx, f)
+	for _, f := range crashed {
+		finish := r.recordFault(check.Fault{Kind: string(schedule.PoisonRequest), Place: f.Place, From: f.At})
+		r.active.Go(func() {
+			defer finish()
+			r.restartEndpoint(ctx, f)
 		})
 	}
 }
 
-// revive removes the entry of an endpoint that a request has ended and starts a new one,
-// if no other fault has done that meanwhile.
-func (r *run) revive(ctx context.Context, f standin.Fallen) {
+// restartEndpoint removes the entry of an endpoint that a request has crashed and starts a new
+// endpoint, unless another fault has done so meanwhile.
+func (r *run) restartEndpoint(ctx context.Context, f standin.Fallen) {
 	p := r.placeNamed(f.Place)
-	p.busy <- struct{}{}
-	defer func() { <-p.busy }()
-	sleepUntil(ctx, f.At.Add(entryLapses))
+	p.reserved <- struct{}{}
+	defer func() { <-p.reserved }()
+	sleepUntil(ctx, f.At.Add(entryLifetime))
 	_ = r.site.call("Bury", f.ID, &standin.None{})
-	sleepUntil(ctx, f.At.Add(fallenFor))
-	var stand map[string]string
-	_ = r.site.call("Addresses", standin.None{}, &stand)
-	if stand[f.Place] == "" {
-		r.startAt(p, "")
+	sleepUntil(ctx, f.At.Add(crashOutage))
+	var addresses map[string]string
+	_ = r.site.call("Addresses", standin.None{}, &addresses)
+	if addresses[f.Place] == "" {
+		r.startEndpoint(p, "")
 	}
 }
 
-// placeNamed finds a place.
-func (r *run) placeNamed(name string) *place {
+// placeNamed returns the place with a name and panics if there is none.
+func (r *run) placeNamed(name string) *endpointPlace {
 	for _, p := range r.places {
 		if p.Name == name {
 			return p
--- a/bench/soak/signals.go
+++ b/bench/soak/signals.go
@@ -13,32 +13,32 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// stopBox asks a box for a planned stop and starts it again.
+// stopBox performs a planned stop of a box and starts it again.
 func (r *run) stopBox(ctx context.Context, e schedule.Event) {
 	b := r.boxes[e.Box]
-	free, ok := r.take(b.busy)
+	release, ok := r.reserve(b.reserved)
 	if !ok {
 		return
 	}
-	defer free()
+	defer release()
 	r.restart(ctx, b)
 }
 
-// restart stops a box as planned and starts it again. The box is held.
+// restart performs a planned stop of a box and starts it again. The caller has reserved the box.
 func (r *run) restart(ctx context.Context, b *box) {
-	ended := r.strike(check.Fault{Kind: string(schedule.BoxStopped), Boxes: []string{b.name}})
-	defer ended()
-	begun := time.Now()
-	err := b.now().Stop()
-	took := time.Since(begun)
-	r.ended(b)
+	finish := r.recordFault(check.Fault{Kind: string(schedule.BoxStopped), Boxes: []string{b.name}})
+	defer finish()
+	start := time.Now()
+	err := b.current().Stop()
+	took := time.Since(start)
+	r.markStopped(b)
 	bound := time.Duration(float64(stopTime) * r.cfg.Room)
 	r.report.Note("planned_stop", err == nil && took <= bound, "%s took %s, %v", b.name, took, err)
-	r.again(ctx, b)
+	r.startAgain(ctx, b)
 }
 
-// again starts a box that has ended.
-func (r *run) again(ctx context.Context, b *box) {
+// startAgain starts a box whose process has ended and waits until it is ready.
+func (r *run) startAgain(ctx context.Context, b *box) {
 	err := r.startBox(b)
 	if err == nil {
 		err = b.awaitReady(ctx)
@@ -46,166 +46,172 @@
 	r.report.Note("restart", err == nil, "%v", err)
 }
 
-// killBox kills a box and starts it again a while later.
+// killBox kills a box and starts it again when the event ends.
 func (r *run) killBox(ctx context.Context, e schedule.Event) {
 	b := r.boxes[e.Box]
-	free, ok := r.take(b.busy)
+	release, ok := r.reserve(b.reserved)
 	if !ok {
 		return
 	}
-	defer free()
-	defer r.strike(check.Fault{Kind: string(e.Kind), Boxes: []string{b.name}})()
-	r.judgeRuns(b)
-	b.now().Kill()
-	r.ended(b)
+	defer release()
+	defer r.recordFault(check.Fault{Kind: string(e.Kind), Boxes: []string{b.name}})()
+	r.checkProcess(b)
+	b.current().Kill()
+	r.markStopped(b)
 	sleepUntil(ctx, time.Now().Add(e.For))
-	r.again(ctx, b)
+	r.startAgain(ctx, b)
 }
 
-// pauseBox has a box stand still for a while.
+// pauseBox pauses the process of a box while the event lasts.
 func (r *run) pauseBox(ctx context.Context, e schedule.Event) {
 	b := r.boxes[e.Box]
-	free, ok := r.take(b.busy)
+	release, ok := r.reserve(b.reserved)
 	if !ok {
 		return
 	}
-	defer free()
-	defer r.strike(check.Fault{Kind: string(e.Kind), Boxes: []string{b.name}})()
-	if b.now().Pause() != nil {
+	defer release()
+	defer r.recordFault(check.Fault{Kind: string(e.Kind), Boxes: []string{b.name}})()
+	if b.current().Pause() != nil {
 		return
 	}
 	sleepUntil(ctx, time.Now().Add(e.For))
-	_ = b.now().Resume()
+	_ = b.current().Resume()
 }
 
-// hangUp changes what a box logs and tells it so.
+// hangUp changes the log level in a box's settings and has the box reload them.
 func (r *run) hangUp(_ context.Context, e schedule.Event) {
 	b := r.boxes[e.Box]
-	free, ok := r.take(b.busy)
+	release, ok := r.reserve(b.reserved)
 	if !ok {
 		return
 	}
-	defer free()
-	s := b.now().Settings()
+	defer release()
+	s := b.current().Settings()
 	s.LogLevel = "debug"
 	if e.Draw%2 == 0 {
 		s.LogLevel = r.cfg.LogLevel
 	}
-	r.report.Note("reload", b.hangUp(s) == nil, "%s took no signal", b.name)
+	r.report.Note("reload", b.hangUp(s) == nil, "%s: settings not written or signal not sent", b.name)
 }
 
-// hangUp writes settings and tells the process.
+// hangUp writes settings and sends the process a SIGHUP.
 func (b *box) hangUp(s setting.Box) error {
-	if err := b.now().WriteSettings(s); err != nil {
+	if err := b.current().WriteSettings(s); err != nil {
 		return err
 	}
-	return b.now().Hangup()
+	return b.current().Hangup()
 }
 
-// rolled is how many boxes a rolling restart takes.
-const rolled = 3
+// rollingBoxes is the number of boxes that a rolling restart restarts.
+const rollingBoxes = 3
 
-// roll restarts some boxes one after the other.
-func (r *run) roll(ctx context.Context, e schedule.Event) {
-	for i := range min(rolled, len(r.boxes)) {
+// rollingRestart restarts some boxes one after the other.
+func (r *run) rollingRestart(ctx context.Context, e schedule.Event) {
+	for i := range min(rollingBoxes, len(r.boxes)) {
 		b := r.boxes[(e.Box+i)%len(r.boxes)]
-		free, ok := r.take(b.busy)
+		release, ok := r.reserve(b.reserved)
 		if !ok {
 			continue
 		}
 		r.restart(ctx, b)
-		free()
+		release()
 	}
 }
 
-// manners are what endpoints do under faults.
-var manners = map[schedule.Kind]standin.Manner{
+// mannerOf is how endpoints answer during a kind of fault.
+var mannerOf = map[schedule.Kind]standin.Manner{
 	schedule.EndpointSlow: standin.Slow, schedule.EndpointMute: standin.Hanging, schedule.EndpointFull: standin.Full,
 	schedule.EndpointFailing: standin.Failing, schedule.EndpointLost: standin.Lost, schedule.EndpointBroken: standin.Cut,
 	schedule.EndpointTwice: standin.Extra,
 }
 
-// strikePlace has an event's place for one fault, unless another one has it.
-func (r *run) strikePlace(e schedule.Event, do func(p *place)) {
+// withPlace reserves the place of an event, records the fault and runs do. If another fault has
+// the place, it skips the event.
+func (r *run) withPlace(e schedule.Event, do func(p *endpointPlace)) {
 	p := r.places[e.Place]
-	free, ok := r.take(p.busy)
+	release, ok := r.reserve(p.reserved)
 	if !ok {
 		return
 	}
-	defer free()
-	defer r.strike(check.Fault{Kind: string(e.Kind), Place: p.Name})()
+	defer release()
+	defer r.recordFault(check.Fault{Kind: string(e.Kind), Place: p.Name})()
 	do(p)
 }
 
-// behave has an endpoint answer in some manner for a time.
-func (r *run) behave(ctx context.Context, e schedule.Event) {
-	r.strikePlace(e, func(p *place) {
+// misbehave has an endpoint answer in the manner of a fault while the event lasts.
+func (r *run) misbehave(ctx context.Context, e schedule.Event) {
+	r.withPlace(e, func(p *endpointPlace) {
 		none := &standin.None{}
-		_ = r.site.call("Behave", standin.Act{Place: p.Name, Manner: manners[e.Kind]}, none)
+		_ = r.site.call("Behave", standin.Act{Place: p.Name, Manner: mannerOf[e.Kind]}, none)
 		sleepUntil(ctx, time.Now().Add(e.For))
 		_ = r.site.call("Behave", standin.Act{Place: p.Name, Manner: standin.Well}, none)
 	})
 }
 
 const (
-	// leastLimit and limitSpread bound the limits that endpoints name, in requests a second.
-	leastLimit  = 1
+	// Endpoints name limits from minLimit, with limitSpread different values, in requests per
+	// second.
+	minLimit    = 1
 	limitSpread = 8
 )
 
-// nameLimit has an endpoint name a limit for a time, and another one for the rest of it.
+// nameLimit has an endpoint name one limit for the first half of the event and another one for
+// the second half.
 func (r *run) nameLimit(ctx context.Context, e schedule.Event) {
-	r.strikePlace(e, func(p *place) {
+	r.withPlace(e, func(p *endpointPlace) {
 		none := &standin.None{}
 		for _, limit := range []uint64{e.Draw % limitSpread, e.Draw / limitSpread % limitSpread} {
-			_ = r.site.call("NameLimit", standin.Act{Place: p.Name, On: true, Limit: leastLimit + float64(limit)}, none)
+			_ = r.site.call("NameLimit", standin.Act{Place: p.Name, On: true, Limit: minLimit + float64(limit)}, none)
 			sleepUntil(ctx, time.Now().Add(e.For/2))
 		}
 		_ = r.site.call("NameLimit", standin.Act{Place: p.Name}, none)
 	})
 }
 
-// restSpread bounds the rest that endpoints ask for, beyond a second.
-const restSpread = 3 * time.Second
+// restJitter bounds the random part of the rest that endpoints ask for, in addition to a second.
+const restJitter = 3 * time.Second
 
-// tireEndpoint has an endpoint turn requests away for a time, and ask for a rest with each.
-func (r *run) tireEndpoint(ctx context.Context, e schedule.Event) {
-	r.strikePlace(e, func(p *place) {
+// askForRest has an endpoint reject requests while the event lasts and ask for a rest in each
+// answer.
+func (r *run) askForRest(ctx context.Context, e schedule.Event) {
+	r.withPlace(e, func(p *endpointPlace) {
 		none := &standin.None{}
-		rest := time.Second + time.Duration(e.Draw%uint64(restSpread))
+		rest := time.Second + time.Duration(e.Draw%uint64(restJitter))
 		_ = r.site.call("Tire", standin.Act{Place: p.Name, Rest: rest}, none)
 		sleepUntil(ctx, time.Now().Add(e.For))
 		_ = r.site.call("Tire", standin.Act{Place: p.Name}, none)
 	})
 }
 
-// partingShare is the part of its time after which an endpoint that leaves says so in the store.
-const partingShare = 3
+// storeLeaveFraction divides an event's time: after the first such fraction the endpoint marks
+// itself as leaving in the store too.
+const storeLeaveFraction = 3
 
-// partEndpoint has an endpoint say in its answers that it leaves, later in the store too, and
-// end; a new one starts in its place.
-func (r *run) partEndpoint(ctx context.Context, e schedule.Event) {
-	r.strikePlace(e, func(p *place) {
+// announceLeaving has an endpoint announce in its answers, and later in the store, that it
+// leaves, and then end. A new endpoint starts in its place.
+func (r *run) announceLeaving(ctx context.Context, e schedule.Event) {
+	r.withPlace(e, func(p *endpointPlace) {
 		_ = r.site.call("Part", standin.Act{Place: p.Name}, &standin.None{})
-		sleepUntil(ctx, time.Now().Add(e.For/partingShare))
+		sleepUntil(ctx, time.Now().Add(e.For/storeLeaveFraction))
 		var id string
 		_ = r.site.call("Leave", standin.Act{Place: p.Name, On: true}, &id)
-		sleepUntil(ctx, time.Now().Add(e.For-e.For/partingShare))
+		sleepUntil(ctx, time.Now().Add(e.For-e.For/storeLeaveFraction))
 		_ = r.site.call("Crash", standin.Act{Place: p.Name}, &id)
 		p.link.SetTarget("")
 		_ = r.site.call("Bury", id, &standin.None{})
-		r.startAt(p, "")
+		r.startEndpoint(p, "")
 	})
 }
 
-// leaveEndpoint has an endpoint say that it leaves, and take that back.
+// leaveEndpoint has an endpoint mark itself as leaving in the store and revert that when the
+// event ends.
 func (r *run) leaveEndpoint(ctx context.Context, e schedule.Event) {
 	p := r.places[e.Place]
-	free, ok := r.take(p.busy)
+	release, ok := r.reserve(p.reserved)
 	if !ok {
 		return
 	}
-	defer free()
+	defer release()
 	var id string
 	if err := r.site.call("Leave", standin.Act{Place: p.Name, On: true}, &id); err != nil {
 		r.skip()
@@ -222,52 +228,53 @@
 	_ = r.site.call("Leave", standin.Act{Place: p.Name}, &id)
 }
 
-// entryLapses is how long after a crash an endpoint's entry stays.
-const entryLapses = 800 * time.Millisecond
+// entryLifetime is how long an endpoint's entry stays in the store after a crash.
+const entryLifetime = 800 * time.Millisecond
 
-// crashEndpoint crashes an endpoint and starts a new one in its place, or one of
-// another service at its address, before its entry is gone.
+// crashEndpoint crashes an endpoint and starts a new one in its place. If its address is to be
+// reused, it crashes an endpoint of another place too, and each is replaced at the address of
+// the other before the old entries are removed from the store.
 func (r *run) crashEndpoint(ctx context.Context, e schedule.Event) {
 	p := r.places[e.Place]
-	free, ok := r.take(p.busy)
+	release, ok := r.reserve(p.reserved)
 	if !ok {
 		return
 	}
-	defer free()
-	moved := []*place{p}
+	defer release()
+	moved := []*endpointPlace{p}
 	if e.Kind == schedule.EndpointMoved {
 		other := r.places[(e.Place+plainPlaces)%len(r.places)]
-		freeOther, ok := r.take(other.busy)
+		releaseOther, ok := r.reserve(other.reserved)
 		if !ok {
 			return
 		}
-		defer freeOther()
+		defer releaseOther()
 		moved = append(moved, other)
 	}
 	ids := make([]string, len(moved))
 	for i, m := range moved {
-		defer r.strike(check.Fault{Kind: string(e.Kind), Place: m.Name})()
+		defer r.recordFault(check.Fault{Kind: string(e.Kind), Place: m.Name})()
 		_ = r.site.call("Crash", standin.Act{Place: m.Name}, &ids[i])
 		m.link.SetTarget("")
 	}
 	if len(moved) == 2 {
 		moved[0].link, moved[1].link = moved[1].link, moved[0].link
-		r.startAt(moved[0], moved[1].Name)
-		r.startAt(moved[1], "")
+		r.startEndpoint(moved[0], moved[1].Name)
+		r.startEndpoint(moved[1], "")
 	}
-	sleepUntil(ctx, time.Now().Add(entryLapses))
+	sleepUntil(ctx, time.Now().Add(entryLifetime))
 	for _, id := range ids {
 		_ = r.site.call("Bury", id, &standin.None{})
 	}
 	if len(moved) == 1 {
-		sleepUntil(ctx, time.Now().Add(max(e.For-entryLapses, 0)))
-		r.startAt(p, "")
+		sleepUntil(ctx, time.Now().Add(max(e.For-entryLifetime, 0)))
+		r.startEndpoint(p, "")
 	}
 }
 
-// startAt starts a new endpoint at a place, at the address of another if one is
-// named.
-func (r *run) startAt(p *place, other string) {
+// startEndpoint starts a new endpoint at a place. If other names a place, the endpoint takes
+// the address of that place.
+func (r *run) startEndpoint(p *endpointPlace, other string) {
 	var address string
 	err := r.site.call("Start", standin.Act{Place: p.Name, Other: other}, &address)
 	r.report.Note("endpoint_restart", err == nil, "%s: %v", p.Name, err)
--- a/bench/soak/site.go
+++ b/bench/soak/site.go
@@ -24,59 +24,60 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// The site's layout: two regions, one of them with two zones. The store stands in
-// the first.
+// The layout of the site: two regions, of which the first has two zones. The store is in the
+// first zone.
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
 var regionOf = map[string]string{"zone-a": "north", "zone-b": "north", "zone-c": "south"}
 
 const (
-	farApart = 20 * time.Millisecond
-	// thinLink is the rate between the regions, in bytes a second.
-	thinLink = 2.5e6
+	regionDelay = 20 * time.Millisecond
+	// regionRate is the bandwidth between the regions, in bytes per second.
+	regionRate = 2.5e6
 
-	plainService = "plain-service"
-	modelService = "model-service"
-	plainPlaces  = 6
-	modelPlaces  = 9
-	streamEvents = 8
-	eventGap     = 15 * time.Millisecond
-	prefillWork  = 30 * time.Millisecond
-	plainWork    = 40 * time.Millisecond
-	slots        = 16
-	handleHold   = 5 * time.Second
-	switchTime   = time.Second
-	pageSize     = 200
-	coldFor      = 3 * time.Second
+	plainService   = "plain-service"
+	modelService   = "model-service"
+	plainPlaces    = 6
+	modelPlaces    = 9
+	streamEvents   = 8
+	eventGap       = 15 * time.Millisecond
+	prefillWork    = 30 * time.Millisecond
+	plainWork      = 40 * time.Millisecond
+	slots          = 16
+	resultLifetime = 5 * time.Second
+	switchTime     = time.Second
+	pageSize       = 200
+	coldFor        = 3 * time.Second
 )
 
-// site is the process that has the store and the endpoints.
-type site struct {
+// siteProcess is the process that runs the platform's store and the endpoints.
+type siteProcess struct {
 	cmd     *exec.Cmd
 	stdin   io.Closer
 	address string
 	client  *rpc.Client
-	// pings is a way to the site through a link that has no faults.
-	pings *rpc.Client
+	// pingClient is connected to the site through a link without faults.
+	pingClient *rpc.Client
 }
 
-// place is an address at which endpoints stand, and the link to it.
-type place struct {
+// endpointPlace is a place at which endpoints run, one at a time, and the link to it. The
+// fault that affects the place holds reserved.
+type endpointPlace struct {
 	standin.Place
-	link *proxy.Proxy
-	busy chan struct{}
+	link     *proxy.Proxy
+	reserved chan struct{}
 }
 
-// ServeSite runs a site until its input ends: what this process was told to have is
-// read from there, and where it takes directions is written out.
+// ServeSite runs a site until its input ends. It reads the site's configuration as a line of
+// JSON from in and writes the address of its RPC server to out.
 func ServeSite(in io.Reader, out io.Writer) error {
 	line, err := bufio.NewReader(in).ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("read the site: %w", err)
+		return fmt.Errorf("read the site's configuration: %w", err)
 	}
 	var cfg standin.SiteConfig
 	if err := json.Unmarshal(line, &cfg); err != nil {
-		return fmt.Errorf("read the site: %w", err)
+		return fmt.Errorf("read the site's configuration: %w", err)
 	}
 	s := standin.NewSite(cfg)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,9 +97,9 @@
 	return nil
 }
 
-// startSite starts the process.
-func startSite(command []string, cfg standin.SiteConfig) (*site, error) {
-	s := &site{cmd: exec.Command(command[0], command[1:]...)}
+// startSite starts the site's process and connects to it.
+func startSite(command []string, cfg standin.SiteConfig) (*siteProcess, error) {
+	s := &siteProcess{cmd: exec.Command(command[0], command[1:]...)}
 	s.cmd.Stderr = os.Stderr
 	in, err := s.cmd.StdinPipe()
 	if err != nil {
@@ -117,7 +118,7 @@
 	}
 	address, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("the site's address: %w", err), s.stop())
+		return nil, errors.Join(fmt.Errorf("read the site's address: %w", err), s.stop())
 	}
 	s.address = strings.TrimSpace(address)
 	s.client, err = rpc.Dial("tcp", s.address)
@@ -127,16 +128,16 @@
 	return s, nil
 }
 
-// call directs the site.
-func (s *site) call(method string, in, out any) error {
+// call calls a method of the site.
+func (s *siteProcess) call(method string, in, out any) error {
 	if err := s.client.Call("Site."+method, in, out); err != nil {
 		return fmt.Errorf("site %s: %w", method, err)
 	}
 	return nil
 }
 
-func (s *site) stop() error {
-	for _, c := range []*rpc.Client{s.client, s.pings} {
+func (s *siteProcess) stop() error {
+	for _, c := range []*rpc.Client{s.client, s.pingClient} {
 		if c != nil {
 			_ = c.Close()
 		}
@@ -144,7 +145,7 @@
 	return errors.Join(s.stdin.Close(), s.cmd.Wait())
 }
 
-// layout lists the places.
+// layout returns the places of all endpoints.
 func layout() []standin.Place {
 	var out []standin.Place
 	for i := range plainPlaces {
@@ -165,9 +166,10 @@
 	return out
 }
 
-// startPlaces starts the site with a link to each place.
+// startPlaces starts the site with a link to each place and has it accept the first
+// configuration.
 func (r *run) startPlaces() error {
-	cfg := standin.SiteConfig{Hold: handleHold, PageSize: pageSize}
+	cfg := standin.SiteConfig{Hold: resultLifetime, PageSize: pageSize}
 	if r.cfg.Features.Cold {
 		cfg.ColdFor = coldFor
 	}
@@ -181,13 +183,13 @@
 		}
 		p.Told = link.Addr()
 		cfg.Places = append(cfg.Places, p)
-		r.places = append(r.places, &place{Place: p, link: link, busy: make(chan struct{}, 1)})
+		r.places = append(r.places, &endpointPlace{Place: p, link: link, reserved: make(chan struct{}, 1)})
 	}
 	var err error
 	if r.site, err = startSite(r.cfg.Site, cfg); err != nil {
 		return err
 	}
-	if r.site.pings, err = r.pingClient(); err != nil {
+	if r.site.pingClient, err = r.dialPing(); err != nil {
 		return errors.Join(err, r.site.stop())
 	}
 	var addresses map[string]string
@@ -200,8 +202,8 @@
 	return r.configure()
 }
 
-// pingClient connects to the site through a link that has no faults.
-func (r *run) pingClient() (*rpc.Client, error) {
+// dialPing connects to the site through a link without faults.
+func (r *run) dialPing() (*rpc.Client, error) {
 	link, err := r.net.Listen(pingLink, storeName, func(net.Conn) string { return "" })
 	if err != nil {
 		return nil, err
@@ -211,35 +213,36 @@
 }
 
 const (
-	pingLink  proxy.Kind = "ping"
-	pingEvery            = 50 * time.Millisecond
-	// stalled is a round trip to the site, of which none takes a millisecond on a
-	// machine that keeps up, that shows that this one does not.
-	stalled = 150 * time.Millisecond
+	pingLink     proxy.Kind = "ping"
+	pingInterval            = 50 * time.Millisecond
+	// stallThreshold is how long a round trip to the site may take beyond the interval
+	// until the machine counts as stalled. One takes less than a millisecond on a machine
+	// that keeps up.
+	stallThreshold = 150 * time.Millisecond
 )
 
-// measure notes when the machine does not keep up: what takes long then proves
+// detectStalls records when the machine is overloaded, since delays during that time prove
 // nothing about the boxes.
-func (r *run) measure(ctx context.Context) {
+func (r *run) detectStalls(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
-		_ = r.site.pings.Call("Site.Ping", standin.None{}, &standin.None{})
+		_ = r.site.pingClient.Call("Site.Ping", standin.None{}, &standin.None{})
 		now := time.Now()
-		if now.Sub(last) > stalled+pingEvery {
+		if now.Sub(last) > stallThreshold+pingInterval {
 			r.mutex.Lock()
 			r.record.Faults = append(r.record.Faults, check.Fault{Kind: "machine_stalled", Machine: true, From: last, To: now})
 			r.result.Stalled += now.Sub(last)
 			r.mutex.Unlock()
 		}
 		last = now
-		time.Sleep(pingEvery)
+		time.Sleep(pingInterval)
 	}
 }
 
-// distance says how far apart the ends of links are: the regions are, and one line
-// each way joins them.
+// distance returns the distance between the ends of links: only links between the regions
+// have a delay, and they share one line in each direction.
 func (r *run) distance() proxy.Distance {
-	away, home := proxy.NewLine(thinLink), proxy.NewLine(thinLink)
+	outbound, inbound := proxy.NewLine(regionRate), proxy.NewLine(regionRate)
 	zoneOf := map[string]string{storeName: zones[0]}
 	for _, p := range layout() {
 		zoneOf[p.Name] = p.Zone
@@ -253,9 +256,9 @@
 		case l.Kind == proxy.Caller, from == to, from == "":
 			return 0, nil, nil
 		case from == regionOf[zones[0]]:
-			return farApart, away, home
+			return regionDelay, outbound, inbound
 		default:
-			return farApart, home, away
+			return regionDelay, inbound, outbound
 		}
 	}
 }
--- a/bench/soak/soak.go
+++ b/bench/soak/soak.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package soak runs router processes against a stand-in platform in a process of its
-// own, brings faults about from outside them by a seeded schedule, and judges what
-// callers and endpoints saw.
+// Package soak runs router processes against a stand-in platform in a process of its own. It
+// injects faults from outside by a seeded schedule and checks what callers and endpoints saw
+// against the router's promises.
 package soak
 
 import (
@@ -18,13 +18,13 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// Config says what to run.
+// Config configures a run.
 type Config struct {
-	// Router is the router's program, and Site the command line of a process that
-	// runs ServeSite.
+	// Router is the path of the router's executable, and Site the command line of a
+	// process that runs ServeSite.
 	Router string
 	Site   []string
-	// Dir takes settings and logs.
+	// Dir is the directory for settings and logs.
 	Dir      string
 	Seed     uint64
 	Boxes    int
@@ -34,26 +34,26 @@
 	Kinds    []schedule.Kind
 	Features Features
 	LogLevel string
-	// Room is the factor on the bounds of what is timed.
+	// Room is the factor by which time bounds are extended.
 	Room float64
-	// Out takes a line for each fault as it begins.
+	// Out receives a line for each fault when it begins.
 	Out io.Writer
 }
 
-// Features are parts of the product that a deployment switches on.
+// Features are the optional features that a deployment can enable.
 type Features struct {
-	// Cold has endpoints start cold, and Regions bounds a route and an account to a
+	// Cold has endpoints start cold, and Regions restricts a route and an account to one
 	// region.
 	Cold, Regions bool
 }
 
-// Result is what a run found.
+// Result holds the outcome of a run.
 type Result struct {
-	// Statuses counts answers; 0 is none.
+	// Statuses counts answers by HTTP status; 0 counts requests without an answer.
 	Statuses map[int]int
 	Faults   map[schedule.Kind]int
 	Skipped  int
-	// Stalled is for how long in all the machine did not keep up.
+	// Stalled is the total time during which the machine was stalled.
 	Stalled  time.Duration
 	Goodput  []Goodput
 	Report   *check.Report
@@ -61,92 +61,92 @@
 }
 
 const (
-	// calm is the time before the first fault.
-	calm = 3 * time.Second
-	// recovery is the pages' bound from the last fault to good service, and after it
-	// the time in which service is judged.
-	recovery   = 15 * time.Second
-	afterwards = 3 * time.Second
-	// leastFaulty is the shortest time in which faults begin.
-	leastFaulty = 5 * time.Second
+	// warmUp is the time before the first fault.
+	warmUp = 3 * time.Second
+	// recovery is the bound that the platform's specification sets from the last fault to
+	// full recovery, and recoveredTime how long service is checked after that.
+	recovery      = 15 * time.Second
+	recoveredTime = 3 * time.Second
+	// minFaultTime is the minimum length of the period in which faults begin.
+	minFaultTime = 5 * time.Second
 )
 
-// run is one run under way.
+// run is the state of one run.
 type run struct {
 	cfg    Config
-	site   *site
+	site   *siteProcess
 	net    *proxy.Net
 	owners *proxy.Owners
 	boxes  []*box
-	places []*place
+	places []*endpointPlace
 	report *check.Report
-	begun  time.Time
+	start  time.Time
 
 	mutex    sync.Mutex
 	record   check.Record
-	samples  []sample
+	samples  []tableSample
 	tables   []tableChange
 	result   Result
 	operator *operator
-	// acts are faults under way.
-	acts sync.WaitGroup
+	// active counts the faults that last now.
+	active sync.WaitGroup
 }
 
-// Run plays one schedule and judges it.
+// Run executes the schedule of a configuration and checks the outcome.
 func Run(ctx context.Context, cfg Config) (Result, error) {
 	r := &run{cfg: cfg, owners: proxy.NewOwners(), report: &check.Report{}, operator: newOperator(cfg)}
 	r.result = Result{Statuses: make(map[int]int), Faults: make(map[schedule.Kind]int), Report: r.report}
 	r.net = proxy.New(r.distance())
 	defer r.net.Close()
-	if err := r.start(ctx); err != nil {
+	if err := r.startAll(ctx); err != nil {
 		return r.result, err
 	}
-	defer r.stop()
-	r.play(ctx)
+	defer r.stopAll()
+	r.execute(ctx)
 	if err := r.site.call("See", standin.None{}, &r.record.Sight); err != nil {
 		return r.result, err
 	}
 	r.record.Ended = time.Now()
-	r.judge()
+	r.checkAll()
 	return r.result, nil
 }
 
-// Schedule draws the faults of a run.
+// Schedule draws the schedule of a run.
 func Schedule(cfg Config) []schedule.Event {
-	last := max(cfg.Length-calm-recovery-afterwards, leastFaulty) + calm
+	last := max(cfg.Length-warmUp-recovery-recoveredTime, minFaultTime) + warmUp
 	return schedule.Make(schedule.Config{
 		Seed: cfg.Seed, Boxes: cfg.Boxes, Places: len(layout()),
-		Begin: calm, End: last, Faults: cfg.Faults, Kinds: cfg.Kinds,
+		Begin: warmUp, End: last, Faults: cfg.Faults, Kinds: cfg.Kinds,
 	})
 }
 
-// play runs load and faults to their end.
-func (r *run) play(ctx context.Context) {
+// execute runs the load, injects the faults and waits for recovery.
+func (r *run) execute(ctx context.Context) {
 	load, endLoad := context.WithCancel(ctx)
 	watch, endWatch := context.WithCancel(ctx)
-	var working, watching sync.WaitGroup
+	var callers, watchers sync.WaitGroup
 	for i := range r.cfg.Boxes * r.cfg.Workers {
-		working.Go(func() { r.work(load, i) })
+		callers.Go(func() { r.runCaller(load, i) })
 	}
-	watching.Go(func() { r.watch(watch) })
-	watching.Go(func() { r.measure(watch) })
-	r.begun = time.Now()
+	watchers.Go(func() { r.watchTables(watch) })
+	watchers.Go(func() { r.detectStalls(watch) })
+	r.start = time.Now()
 	r.result.Schedule = Schedule(r.cfg)
 	for _, e := range r.result.Schedule {
-		sleepUntil(ctx, r.begun.Add(e.At))
+		sleepUntil(ctx, r.start.Add(e.At))
 		if ctx.Err() != nil {
 			break
 		}
-		r.begin(ctx, e)
+		r.startEvent(ctx, e)
 	}
-	r.acts.Wait()
-	sleepUntil(ctx, time.Now().Add(recovery+afterwards))
+	r.active.Wait()
+	sleepUntil(ctx, time.Now().Add(recovery+recoveredTime))
 	endLoad()
-	working.Wait()
-	// Handles that are kept now lapse, or are freed, within their time.
-	sleepUntil(ctx, time.Now().Add(handleHold))
+	callers.Wait()
+	// Prefill results that are kept now expire, or are freed, within their lifetime.
+	sleepUntil(ctx, time.Now().Add(resultLifetime))
 	endWatch()
-	watching.Wait()
+	watchers.Wait()
 }
 
 func sleepUntil(ctx context.Context, at time.Time) {
@@ -156,17 +156,17 @@
 	}
 }
 
-// bounds are the pages' bounds, with room for what is timed.
+// bounds returns the bounds of the platform's specification, with time bounds extended by Room.
 func (r *run) bounds() check.Bounds {
 	room := func(d time.Duration) time.Duration { return time.Duration(float64(d) * r.cfg.Room) }
 	b := check.Bounds{
 		Gone: room(500 * time.Millisecond), Leaving: room(3 * time.Second), KeyWithdrawn: room(5 * time.Second),
-		KeyGiven:    room(inForceBound),
+		KeyGiven:    room(tableBound),
 		ZoneDrained: room(5 * time.Second), Answered: room(500 * time.Millisecond),
 		QuotaWindow: quotaWindow, QuotaOverage: quotaOverage, QuotaSlack: quotaSlack,
 		RetryWindow: retryWindow, RetryRatio: retryRatio, RetrySlack: retrySlack,
 		Lease:   lease,
-		Contact: room(contact),
+		Contact: room(contactBound),
 	}
 	if r.cfg.Features.Cold {
 		b.ColdPace, b.ColdOverage, b.ColdSlack = coldPace, coldOverage, coldSlack
--- a/bench/soak/watch.go
+++ b/bench/soak/watch.go
@@ -14,46 +14,46 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// sample is what a box said of its table.
-type sample struct {
+// tableSample is the table that a box reported to have in force.
+type tableSample struct {
 	box        string
 	asked      time.Time
 	generation uint64
-	// version is the operator's number of the table; 0 is not told.
+	// version is the operator's number of the table; 0 if the box didn't report it.
 	version uint64
 }
 
 const (
-	sampleEvery = 150 * time.Millisecond
-	// writeEvery is how often endpoints whose stage has changed write their entries.
-	writeEvery = 200 * time.Millisecond
+	sampleInterval = 150 * time.Millisecond
+	// writeInterval is the interval at which endpoints whose stage has changed write their entries.
+	writeInterval = 200 * time.Millisecond
 )
 
-// watch asks each box for its table, as operators and callers do, until the context
-// ends.
-func (r *run) watch(ctx context.Context) {
-	var watching sync.WaitGroup
+// watchTables samples the table of each box, by its status page and by requests, until the
+// context ends. It also has the endpoints write their entries.
+func (r *run) watchTables(ctx context.Context) {
+	var watchers sync.WaitGroup
 	for _, b := range r.boxes {
-		watching.Go(func() {
+		watchers.Go(func() {
 			client := &http.Client{Timeout: time.Second}
 			for n := 0; ctx.Err() == nil; n++ {
-				r.sampleOf(b)
-				r.tryTable(ctx, client, b, fmt.Sprintf("%s%swatch-%d", b.name, check.IDSeparator, n))
-				time.Sleep(sampleEvery)
+				r.sampleTable(b)
+				r.probeTable(ctx, client, b, fmt.Sprintf("%s%swatch-%d", b.name, check.IDSeparator, n))
+				time.Sleep(sampleInterval)
 			}
 		})
 	}
-	watching.Go(func() {
+	watchers.Go(func() {
 		for ctx.Err() == nil {
 			_ = r.site.call("Write", standin.None{}, &standin.None{})
-			time.Sleep(writeEvery)
+			time.Sleep(writeInterval)
 		}
 	})
-	watching.Wait()
+	watchers.Wait()
 }
 
-// sampleOf asks a box which table it has in force.
-func (r *run) sampleOf(b *box) {
+// sampleTable records which table a box has in force.
+func (r *run) sampleTable(b *box) {
 	asked := time.Now()
 	s, err := b.status()
 	if err != nil || s.Generation == 0 {
@@ -61,16 +61,16 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.samples = append(r.samples, sample{box: b.name, asked: asked, generation: s.Generation, version: s.TableVersion})
+	r.samples = append(r.samples, tableSample{box: b.name, asked: asked, generation: s.Generation, version: s.TableVersion})
 }
 
-// tryTable asks on the route of the newest table, so that callers can ask on it
-// from when it is known on.
-func (r *run) tryTable(ctx context.Context, client *http.Client, b *box, id string) {
+// probeTable sends a request on the route that the newest table added. Once the box answers,
+// callers may use the route too.
+func (r *run) probeTable(ctx context.Context, client *http.Client, b *box, id string) {
 	r.mutex.Lock()
 	version := r.tables[len(r.tables)-1].version
 	r.mutex.Unlock()
-	if version <= b.newest() {
+	if version <= b.newestRoute() {
 		return
 	}
 	req, err := standin.Ask{Address: b.callers.Addr(), Route: routeOfTable(version), ID: id}.Request(ctx)
@@ -83,41 +83,42 @@
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode == http.StatusOK {
-		b.answeredOn(version)
+		b.noteVersion(version)
 	}
 }
 
-// inForceBound is the pages' bound for a change of the table.
-const inForceBound = 3 * time.Second
+// tableBound is how soon a change of the table must be in force, by the platform's specification.
+const tableBound = 3 * time.Second
 
-// judge judges the run.
-func (r *run) judge() {
+// checkAll checks the run against all promises.
+func (r *run) checkAll() {
 	bounds := r.bounds()
 	if r.cfg.Features.Regions {
 		north := []string{zones[0], zones[1]}
 		r.record.Allowed = map[string][]string{routeNorth: north, accountNorth: north}
 	}
 	check.Judge(r.record, bounds, r.report)
-	r.judgeTables()
-	r.judgeRecovery()
-	r.judgeStops()
-	r.judgeGoodput()
-	r.judgeBoxes()
+	r.checkTables()
+	r.checkRecovery()
+	r.checkPlannedStops()
+	r.checkGoodput()
+	r.checkBoxes()
 }
 
-// older says whether the box stood on an older table than one: by the operator's versions,
-// where the box knows them.
-func (s sample) older(generation, version uint64) bool {
+// older reports whether the sampled table is older than one with a generation and a version.
+// It compares the operator's versions if both are known, and the generations otherwise.
+func (s tableSample) older(generation, version uint64) bool {
 	if s.version > 0 && version > 0 {
 		return s.version < version
 	}
 	return s.generation < generation
 }
 
-// judgeTables judges that tables are in force within their bound, and never go back.
-func (r *run) judgeTables() {
-	bound := time.Duration(float64(inForceBound) * r.cfg.Room)
-	highest := make(map[string]sample)
+// checkTables checks that each table is in force within the bound, and that no box returns to
+// an older table or forgets a route.
+func (r *run) checkTables() {
+	bound := time.Duration(float64(tableBound) * r.cfg.Room)
+	highest := make(map[string]tableSample)
 	late := make(map[string]map[uint64]bool)
 	for _, s := range r.samples {
 		before, known := highest[s.box]
@@ -128,8 +129,8 @@
 			highest[s.box] = s
 		}
 		for _, t := range r.tables {
-			heard, could := r.record.HeardSince(s.box, t.at, s.asked)
-			if !s.older(t.revision, uint64(t.version)) || !could || s.asked.Sub(heard) <= bound {
+			since, reachable := r.record.HeardSince(s.box, t.at, s.asked)
+			if !s.older(t.revision, uint64(t.version)) || !reachable || s.asked.Sub(since) <= bound {
 				continue
 			}
 			if late[s.box] == nil {
@@ -140,7 +141,7 @@
 	}
 	for _, b := range r.boxes {
 		for _, t := range r.tables {
-			r.report.Note("table_in_force", !late[b.name][t.revision], "%s lacks %d of %s after %s", b.name, t.revision, t.at.Format(time.StampMilli), bound)
+			r.report.Note("table_in_force", !late[b.name][t.revision], "%s does not have table %d of %s in force after %s", b.name, t.revision, t.at.Format(time.StampMilli), bound)
 		}
 	}
 	for _, a := range r.record.Answers {
@@ -150,9 +151,10 @@
 	}
 }
 
-// judgeRecovery judges that all is well again a while after the last fault.
-func (r *run) judgeRecovery() {
-	last := r.begun
+// checkRecovery checks that all requests succeed again once the recovery time after the last
+// fault has passed.
+func (r *run) checkRecovery() {
+	last := r.start
 	for _, f := range r.record.Faults {
 		if f.To.After(last) && !f.Machine {
 			last = f.To
