--- a/bench/soak/completions/completions.go
+++ b/bench/soak/completions/completions.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package completions soaks boxes that serve the product's own interface for
-// completions, with engines that speak its own protocol for engines. Boxes are
-// processes; the engines and the platform with the table stand in this one.
+// Package completions runs soak tests of boxes that serve the router's own completions API,
+// with engines that speak its own engine protocol. Each box is a process; the fake engines
+// and the platform with the table run in this process.
 package completions
 
 import (
@@ -27,7 +27,7 @@
 	"runridge.example/runridge/transport/operatorhttp"
 )
 
-// Kinds are the kinds of faults that are brought about here.
+// Kinds returns the kinds of faults that this package injects.
 func Kinds() []schedule.Kind {
 	return []schedule.Kind{
 		schedule.BoxKilled, schedule.BoxPaused, schedule.BoxStopped, schedule.EndpointCrashed, schedule.EndpointLeaving,
@@ -35,19 +35,20 @@
 	}
 }
 
-// Config says what to run.
+// Config configures a run.
 type Config struct {
-	// Router is the router's program, and Dir takes settings and logs.
+	// Router is the path of the router's executable, and Dir the directory for settings
+	// and logs.
 	Router, Dir   string
 	Boxes, Faults int
 	Workers       int
 	Seed          uint64
 	Length        time.Duration
-	// Out takes a line for each fault as it begins.
+	// Out receives a line for each fault when it begins.
 	Out io.Writer
 }
 
-// Result is what a run found.
+// Result holds the outcome of a run.
 type Result struct {
 	Requests int
 	Faults   map[schedule.Kind]int
@@ -55,33 +56,33 @@
 	Report   *check.Report
 }
 
-// run is one under way.
+// run is the state of one run.
 type run struct {
 	cfg   Config
 	fleet *fleet.Fleet
 
 	mutex     sync.Mutex
 	processes []*process.Process
-	// away marks boxes and engines that are down or paused at the moment.
-	away map[string]bool
-	// outages is how many outages of the platform are under way, and heard is
-	// when the last one ended.
-	outages int
-	heard   time.Time
-	seen    []sighting
-	highest map[string]uint64
-	out     Result
-	// acts are faults, and recoveries from them, under way.
-	acts sync.WaitGroup
+	// unavailable marks boxes and engines that are down or paused now.
+	unavailable map[string]bool
+	// outages is the number of outages of the platform that last now, and outageEnded
+	// is when the last one ended.
+	outages          int
+	outageEnded      time.Time
+	observed         []observation
+	newestGeneration map[string]uint64
+	result           Result
+	// active counts the faults, and the recoveries from them, in progress.
+	active sync.WaitGroup
 }
 
-// sighting is one request with what its caller saw.
-type sighting struct {
+// observation is what a caller saw of one request.
+type observation struct {
 	bench.Seen
 	once bool
 }
 
-// Run plays one schedule and judges it.
+// Run executes the schedule of a configuration and checks the outcome.
 func Run(ctx context.Context, cfg Config) (Result, error) {
 	t, _ := example.Table(example.Bogota)
 	f, err := fleet.Start(ctx, fleet.Config{Table: t, Log: log.Discard()})
@@ -89,37 +90,37 @@
 		return Result{}, err
 	}
 	defer f.Stop()
-	r := &run{cfg: cfg, fleet: f, away: make(map[string]bool), highest: make(map[string]uint64)}
-	r.out = Result{Faults: make(map[schedule.Kind]int), Outcomes: make(map[bench.Outcome]int), Report: &check.Report{}}
+	r := &run{cfg: cfg, fleet: f, unavailable: make(map[string]bool), newestGeneration: make(map[string]uint64)}
+	r.result = Result{Faults: make(map[schedule.Kind]int), Outcomes: make(map[bench.Outcome]int), Report: &check.Report{}}
 	if err := r.startBoxes(ctx); err != nil {
-		return r.out, err
+		return r.result, err
 	}
 	defer r.killAll()
 	load, stopLoad := context.WithCancel(ctx)
 	var workers sync.WaitGroup
 	for i := range cfg.Boxes * cfg.Workers {
-		workers.Go(func() { r.work(load, i) })
+		workers.Go(func() { r.runCaller(load, i) })
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	stopLoad()
 	workers.Wait()
-	r.judge()
-	return r.out, nil
+	r.checkResults()
+	return r.result, nil
 }
 
-// play brings the schedule's faults about and waits for the last one's end.
-func (r *run) play(ctx context.Context) {
-	begun := time.Now()
+// execute injects the faults of the schedule and waits until the last one has ended.
+func (r *run) execute(ctx context.Context) {
+	start := time.Now()
 	for _, e := range schedule.Make(schedule.Config{
 		Seed: r.cfg.Seed, Boxes: r.cfg.Boxes, Places: len(r.fleet.Engines), Faults: r.cfg.Faults, End: r.cfg.Length, Kinds: Kinds(),
 	}) {
-		time.Sleep(time.Until(begun.Add(e.At)))
-		r.out.Faults[e.Kind]++
+		time.Sleep(time.Until(start.Add(e.At)))
+		r.result.Faults[e.Kind]++
 		_, _ = fmt.Fprintf(r.cfg.Out, "soak at=%s %s\n", time.Now().Format("15:04:05.000"), e)
-		r.acts.Go(func() { r.act(ctx, e) })
+		r.active.Go(func() { r.inject(ctx, e) })
 	}
-	time.Sleep(time.Until(begun.Add(r.cfg.Length)))
-	r.acts.Wait()
+	time.Sleep(time.Until(start.Add(r.cfg.Length)))
+	r.active.Wait()
 }
 
 func (r *run) startBoxes(ctx context.Context) error {
@@ -142,12 +143,12 @@
 }
 
 const (
-	readyBound = 15 * time.Second
-	look       = 10 * time.Millisecond
+	readyBound   = 15 * time.Second
+	pollInterval = 10 * time.Millisecond
 )
 
 func awaitReady(ctx context.Context, p *process.Process) error {
-	for begin := time.Now(); time.Since(begin) < readyBound && ctx.Err() == nil; time.Sleep(look) {
+	for begin := time.Now(); time.Since(begin) < readyBound && ctx.Err() == nil; time.Sleep(pollInterval) {
 		if s, err := statusOf(p); err == nil && s.Ready {
 			return nil
 		}
@@ -177,22 +178,22 @@
 }
 
 const (
-	onceOneIn    = 5
-	cancelOneIn  = 30
-	cancelWithin = 400 * time.Millisecond
-	requestBound = 20 * time.Second
-	refusedPause = 100 * time.Millisecond
-	leastPrompt  = 20
-	promptSpread = 200
-	leastOutput  = 8
-	outputSpread = 24
-	model        = "lm-porta"
-	account      = "mesa-norte"
+	onceOneIn      = 5
+	cancelOneIn    = 30
+	maxCancelTime  = 400 * time.Millisecond
+	maxRequestTime = 20 * time.Second
+	failurePause   = 100 * time.Millisecond
+	minPrompt      = 20
+	promptJitter   = 200
+	minOutput      = 8
+	outputJitter   = 24
+	model          = "lm-porta"
+	account        = "mesa-norte"
 )
 
-// work is one caller: short requests one after the other, some given up, some
-// marked as not to be repeated.
-func (r *run) work(ctx context.Context, i int) {
+// runCaller is one caller. It sends short requests one after the other; some it cancels, and
+// some it marks as not to be repeated.
+func (r *run) runCaller(ctx context.Context, i int) {
 	random := rand.New(rand.NewPCG(r.cfg.Seed, uint64(1000+i)))
 	caller := bench.NewCaller()
 	defer caller.Close()
@@ -201,35 +202,35 @@
 		p := r.processes[i%len(r.processes)]
 		r.mutex.Unlock()
 		a := bench.Arrival{
-			Prompt:       fmt.Sprintf("caller %d asks %d: %s", i, n, bench.Text(random, leastPrompt+random.IntN(promptSpread))),
-			OutputTokens: leastOutput + random.IntN(outputSpread),
+			Prompt:       fmt.Sprintf("caller %d asks %d: %s", i, n, bench.Text(random, minPrompt+random.IntN(promptJitter))),
+			OutputTokens: minOutput + random.IntN(outputJitter),
 			Account:      account,
 			Once:         random.IntN(onceOneIn) == 0,
 		}
 		if random.IntN(cancelOneIn) == 0 {
-			a.CancelAfter = time.Duration(1 + random.Int64N(int64(cancelWithin)))
+			a.CancelAfter = time.Duration(1 + random.Int64N(int64(maxCancelTime)))
 		}
-		bound, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestBound)
+		bound, cancel := context.WithTimeout(context.WithoutCancel(ctx), maxRequestTime)
 		s := caller.Do(bound, p.CallerAddr, model, a)
 		cancel()
 		r.mutex.Lock()
-		r.seen = append(r.seen, sighting{Seen: s, once: a.Once})
-		r.out.Outcomes[s.Outcome]++
+		r.observed = append(r.observed, observation{Seen: s, once: a.Once})
+		r.result.Outcomes[s.Outcome]++
 		r.mutex.Unlock()
 		if s.Outcome != bench.OutcomeFinished {
-			time.Sleep(refusedPause)
+			time.Sleep(failurePause)
 		}
 	}
 }
 
-// judge compares what callers saw with what the engines did.
-func (r *run) judge() {
+// checkResults compares what callers saw with what the engines did.
+func (r *run) checkResults() {
 	held := bench.AwaitFree(r.fleet)
 	work := r.fleet.Ledger.Requests()
-	note := r.out.Report.Note
-	r.out.Requests = len(r.seen)
+	note := r.result.Report.Note
+	r.result.Requests = len(r.observed)
 	note("no_hold_left", held == 0, "%d attempts are held at the end", held)
-	for _, s := range r.seen {
+	for _, s := range r.observed {
 		if s.Outcome == bench.OutcomeFinished || s.Outcome == bench.OutcomeWrong {
 			note("whole_own_answer", s.Outcome == bench.OutcomeFinished, "%s: %s", s.Request, s.Reason)
 		}
@@ -247,7 +248,7 @@
 	}
 }
 
-// engineNames are the names of the engines, in order.
+// engineNames returns the names of the engines, sorted.
 func (r *run) engineNames() []string {
 	names := make([]string, 0, len(r.fleet.Engines))
 	for name := range r.fleet.Engines {
@@ -257,7 +258,7 @@
 	return names
 }
 
-// Print writes what there was in the run; the report has what was judged.
+// Print writes the counts of a run. The results of the checks are in the report.
 func (r Result) Print(w io.Writer) {
 	check.PrintCounts(w, "faults", r.Faults)
 	check.PrintCounts(w, "requests", r.Outcomes)
--- a/bench/soak/completions/faults.go
+++ b/bench/soak/completions/faults.go
@@ -16,57 +16,57 @@
 )
 
 const (
-	// orphanBound is when holds of a box that died must be gone, and inForceBound
-	// when a change of the table must be in force.
-	orphanBound  = 15 * time.Second
-	inForceBound = 6 * time.Second
-	// leavingBound is when a leaving endpoint must get no new work any more.
-	leavingBound = 3 * time.Second
-	engineDown   = 700 * time.Millisecond
-	stalled      = 3
-	leastSlots   = 30
-	slotSpread   = 10
+	// orphanBound is how soon the holds of a killed box must be freed, and tableBound how
+	// soon a change of the table must be in force.
+	orphanBound = 15 * time.Second
+	tableBound  = 6 * time.Second
+	// leavingBound is how soon a leaving endpoint must get no more new work.
+	leavingBound     = 3 * time.Second
+	engineDown       = 700 * time.Millisecond
+	stalledTransfers = 3
+	minSlots         = 30
+	slotJitter       = 10
 )
 
-// act brings one event about and waits for its end.
-func (r *run) act(ctx context.Context, e schedule.Event) {
+// inject injects the fault of one event and waits until it ends.
+func (r *run) inject(ctx context.Context, e schedule.Event) {
 	switch e.Kind {
 	case schedule.BoxKilled, schedule.BoxPaused, schedule.BoxStopped:
-		r.strikeBox(ctx, e)
+		r.disruptBox(ctx, e)
 	case schedule.EndpointCrashed:
 		r.killEngine(r.engineNames()[e.Place])
 	case schedule.EndpointLeaving:
-		r.leave(r.engineNames()[e.Place])
+		r.leaveEngine(r.engineNames()[e.Place])
 	case schedule.StoreBusy:
-		r.platformOut(e.For)
+		r.platformOutage(e.For)
 	case schedule.TableChanged:
 		r.changeTable(e.Draw)
 	case schedule.TransfersStalled:
-		r.fleet.Links.StallNext(stalled)
+		r.fleet.Links.StallNext(stalledTransfers)
 	}
 }
 
-// take marks a box or an engine away; false if it is.
-func (r *run) take(name string) bool {
+// reserve marks a box or an engine as unavailable. It returns false if it is marked already.
+func (r *run) reserve(name string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	taken := !r.away[name]
-	r.away[name] = true
-	return taken
+	reserved := !r.unavailable[name]
+	r.unavailable[name] = true
+	return reserved
 }
 
-func (r *run) back(name string) {
+func (r *run) release(name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.away, name)
+	delete(r.unavailable, name)
 }
 
-// strikeBox kills, pauses or stops a box, and has it run again.
-func (r *run) strikeBox(ctx context.Context, e schedule.Event) {
+// disruptBox kills, pauses or stops a box, and restarts or resumes it.
+func (r *run) disruptBox(ctx context.Context, e schedule.Event) {
 	r.mutex.Lock()
 	p := r.processes[e.Box]
 	r.mutex.Unlock()
-	if !r.take(p.Name) {
+	if !r.reserve(p.Name) {
 		return
 	}
 	switch e.Kind {
@@ -75,32 +75,33 @@
 			time.Sleep(e.For)
 			_ = p.Resume()
 		}
-		r.back(p.Name)
+		r.release(p.Name)
 		return
 	case schedule.BoxStopped:
 		err := p.Stop()
-		r.out.Report.Note("planned_stop", err == nil, "%s: %v", p.Name, err)
+		r.result.Report.Note("planned_stop", err == nil, "%s: %v", p.Name, err)
 	default:
 		s, err := statusOf(p)
 		p.Kill()
 		if err == nil {
-			r.awaitOrphans(p.Name, s.Incarnation)
+			r.awaitHoldsFreed(p.Name, s.Incarnation)
 		}
 	}
 	r.restart(ctx, e.Box, p)
 }
 
-// awaitOrphans waits until no engine holds anything for a box that died.
-func (r *run) awaitOrphans(box string, incarnation uint64) {
+// awaitHoldsFreed waits until no engine holds memory for an incarnation of a box that was
+// killed.
+func (r *run) awaitHoldsFreed(box string, incarnation uint64) {
 	died := time.Now()
-	for r.heldFor(box, incarnation) && time.Since(died) < orphanBound {
-		time.Sleep(look)
+	for r.hasHolds(box, incarnation) && time.Since(died) < orphanBound {
+		time.Sleep(pollInterval)
 	}
 	took := time.Since(died)
-	r.out.Report.Note("orphans_gone", took < orphanBound, "holds of %s stay for %s", box, took)
+	r.result.Report.Note("orphans_gone", took < orphanBound, "holds of %s stay for %s", box, took)
 }
 
-func (r *run) heldFor(box string, incarnation uint64) bool {
+func (r *run) hasHolds(box string, incarnation uint64) bool {
 	for _, e := range r.fleet.Engines {
 		for _, a := range e.HeldAttempts() {
 			id, err := lifecycle.ParseAttemptID(a)
@@ -120,80 +121,82 @@
 		r.mutex.Unlock()
 		err = awaitReady(ctx, next)
 	}
-	r.out.Report.Note("restart", err == nil, "%s: %v", p.Name, err)
+	r.result.Report.Note("restart", err == nil, "%s: %v", p.Name, err)
 	if err == nil {
 		r.generationOf(next)
-		r.back(p.Name)
+		r.release(p.Name)
 	}
 }
 
-// killEngine kills an engine and starts it again.
+// killEngine kills an engine and restarts it.
 func (r *run) killEngine(name string) {
-	if !r.take(name) {
+	if !r.reserve(name) {
 		return
 	}
 	r.fleet.Engines[name].Kill()
 	time.Sleep(engineDown)
 	err := r.fleet.RestartEngine(name)
-	r.out.Report.Note("engine_restart", err == nil, "%s: %v", name, err)
-	r.back(name)
+	r.result.Report.Note("engine_restart", err == nil, "%s: %v", name, err)
+	r.release(name)
 }
 
-func (r *run) platformOut(out time.Duration) {
+func (r *run) platformOutage(length time.Duration) {
 	r.mutex.Lock()
 	r.outages++
 	r.fleet.Platform.SetDown(true)
 	r.mutex.Unlock()
-	time.Sleep(out)
+	time.Sleep(length)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.outages--
-	r.heard = time.Now()
+	r.outageEnded = time.Now()
 	if r.outages == 0 {
 		r.fleet.Platform.SetDown(false)
 	}
 }
 
-// heardSince says since when boxes could have read what was accepted at a
-// time: the end of the last outage after it. It reports false during one.
-func (r *run) heardSince(accepted time.Time) (time.Time, bool) {
+// reachableSince returns the time from which on boxes could read a change that was accepted
+// at a given time: the end of the last outage, if that was later. It returns false during an
+// outage.
+func (r *run) reachableSince(accepted time.Time) (time.Time, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.heard.After(accepted) {
-		accepted = r.heard
+	if r.outageEnded.After(accepted) {
+		accepted = r.outageEnded
 	}
 	return accepted, r.outages == 0
 }
 
-// changeTable accepts a change and waits until every box has it in force.
+// changeTable changes the slots of an endpoint and waits until every available box has the
+// change in force.
 func (r *run) changeTable(draw uint64) {
 	r.mutex.Lock()
 	t := r.fleet.Table()
 	e := t.Endpoints[draw%uint64(len(t.Endpoints))]
-	e.Slots = leastSlots + int(draw%slotSpread)
+	e.Slots = minSlots + int(draw%slotJitter)
 	err := r.fleet.SetTable(t.WithEndpoint(e))
 	r.mutex.Unlock()
-	r.out.Report.Note("table_change", err == nil, "%v", err)
+	r.result.Report.Note("table_change", err == nil, "%v", err)
 	generation := r.fleet.Platform.Version(follow.ObjectName)
-	begun := time.Now()
-	for time.Since(begun) < 2*inForceBound && !r.allHave(generation) {
-		time.Sleep(look)
+	start := time.Now()
+	for time.Since(start) < 2*tableBound && !r.allInForce(generation) {
+		time.Sleep(pollInterval)
 	}
-	took := time.Since(begun)
-	r.out.Report.Note("config_in_force", took <= inForceBound, "%d took %s", generation, took)
+	took := time.Since(start)
+	r.result.Report.Note("config_in_force", took <= tableBound, "%d took %s", generation, took)
 }
 
-// allHave says whether every box that is there has a generation in force.
-func (r *run) allHave(generation uint64) bool {
+// allInForce reports whether every available box has a generation in force.
+func (r *run) allInForce(generation uint64) bool {
 	r.mutex.Lock()
-	var there []*process.Process
+	var available []*process.Process
 	for _, p := range r.processes {
-		if !r.away[p.Name] {
-			there = append(there, p)
+		if !r.unavailable[p.Name] {
+			available = append(available, p)
 		}
 	}
 	r.mutex.Unlock()
-	for _, p := range there {
+	for _, p := range available {
 		if g, ok := r.generationOf(p); !ok || g < generation {
 			return false
 		}
@@ -201,25 +204,26 @@
 	return true
 }
 
-// generationOf asks a box for its generation, which must never fall, not even over a
-// restart.
+// generationOf returns the generation of the table of a box. It checks that the generation
+// never decreases, not even across a restart.
 func (r *run) generationOf(p *process.Process) (uint64, bool) {
 	r.mutex.Lock()
-	old := r.highest[p.Name]
+	old := r.newestGeneration[p.Name]
 	r.mutex.Unlock()
 	s, err := statusOf(p)
 	if err != nil || s.Generation == 0 {
 		return 0, false
 	}
 	r.mutex.Lock()
-	r.highest[p.Name] = max(r.highest[p.Name], s.Generation)
+	r.newestGeneration[p.Name] = max(r.newestGeneration[p.Name], s.Generation)
 	r.mutex.Unlock()
-	r.out.Report.Note("config_never_older", s.Generation >= old, "%s went from %d to %d", p.Name, old, s.Generation)
+	r.result.Report.Note("config_never_older", s.Generation >= old, "%s went from %d to %d", p.Name, old, s.Generation)
 	return s.Generation, true
 }
 
-// leave marks an engine as leaving and looks at when it last took work.
-func (r *run) leave(engine string) {
+// leaveEngine marks an engine as leaving for a while and checks that it accepted no work after
+// the bound.
+func (r *run) leaveEngine(engine string) {
 	r.mutex.Lock()
 	endpoints := r.fleet.Table().Endpoints
 	r.mutex.Unlock()
@@ -228,13 +232,13 @@
 		return
 	}
 	marked := time.Now()
-	heard, up := r.heardSince(marked)
-	for !up || time.Since(heard) < leavingBound+time.Second {
-		time.Sleep(look)
-		heard, up = r.heardSince(marked)
+	since, reachable := r.reachableSince(marked)
+	for !reachable || time.Since(since) < leavingBound+time.Second {
+		time.Sleep(pollInterval)
+		since, reachable = r.reachableSince(marked)
 	}
 	last := r.fleet.Engines[engine].LastAccepted()
-	r.out.Report.Note("leaving_gets_no_work", !last.After(heard.Add(leavingBound)), "%s took work %s after it was known to leave", engine, last.Sub(heard))
+	r.result.Report.Note("leaving_gets_no_work", !last.After(since.Add(leavingBound)), "%s took work %s after it was known to leave", engine, last.Sub(since))
 	r.setLeaving(engine, false)
 }
 
@@ -242,6 +246,6 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	err := r.fleet.SetTable(r.fleet.Table().WithLeaving(engine, leaving))
-	r.out.Report.Note("table_change", err == nil, "%v", err)
+	r.result.Report.Note("table_change", err == nil, "%v", err)
 	return err == nil
 }
