--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package fleet measures what being in a fleet costs a box: it runs real boxes in one process,
-// on loopback, with a stand-in for the platform's store that lists endpoints which nobody
-// asks. What is measured is shared out over the boxes.
+// Package fleet measures the overhead that membership in a fleet causes per box. It runs real
+// boxes in one process on loopback, with a stand-in for the platform's store that lists
+// endpoints to which no requests are sent. Most figures are totals divided by the number of boxes.
 package fleet
 
 import (
@@ -25,46 +25,46 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// Config says what to run.
+// Config configures a measurement.
 type Config struct {
 	Boxes, Endpoints, Zones int
-	// Quiet is how long the fleet is measured while nothing happens.
+	// Quiet is how long the fleet is measured while nothing changes.
 	Quiet time.Duration
-	// Profile and StartProfile are the files for processor profiles of the quiet time and
-	// of what goes before it; empty is none.
+	// Profile and StartProfile are the files for CPU profiles of the quiet period and of
+	// the start before it; empty is none.
 	Profile, StartProfile string
 	Log                   log.Logger
 }
 
 const (
 	service = "model"
-	// page is how many objects the store lists at once.
-	page = 200
-	// startBound ends a run whose fleet does not come together, and reachBound one whose
-	// boxes do not learn of a change.
+	// pageSize is the number of objects that the store lists per page.
+	pageSize = 200
+	// startBound limits the time until all boxes know each other, and reachBound the time
+	// until all boxes know a change. A run that exceeds either fails.
 	startBound = 2 * time.Minute
 	reachBound = 30 * time.Second
 	slots      = 24
-	// reads and writes are the rates of the store that the boxes are told.
-	reads = 16_000
+	// storeReadRate is the store's read rate per second in the settings of the boxes.
+	storeReadRate = 16_000
 )
 
-// fleet is what runs.
-type fleet struct {
-	cfg   Config
-	store *standin.Store
-	boxes []*box.Box
-	ended errgroup.Group
-	stops []context.CancelFunc
-	// version is that of the configuration.
+// testFleet is the store and the boxes of one measurement.
+type testFleet struct {
+	cfg     Config
+	store   *standin.Store
+	boxes   []*box.Box
+	running errgroup.Group
+	stops   []context.CancelFunc
+	// version is the version of the configuration.
 	version int
 }
 
-// Run measures one fleet.
+// Run starts a fleet, measures it and stops it.
 func Run(cfg Config) (Report, error) {
-	f := &fleet{cfg: cfg, store: standin.NewStore()}
+	f := &testFleet{cfg: cfg, store: standin.NewStore()}
 	defer f.store.Close()
-	f.store.SetPage(page)
+	f.store.SetPage(pageSize)
 	for i := range cfg.Endpoints {
 		f.putEndpoint(i, false)
 	}
@@ -74,40 +74,40 @@
 	for _, stop := range f.stops {
 		stop()
 	}
-	if ended := f.ended.Wait(); err == nil {
+	if ended := f.running.Wait(); err == nil {
 		err = ended
 	}
 	return out, err
 }
 
-func (f *fleet) measure(out *Report) error {
+func (f *testFleet) measure(out *Report) error {
 	if err := f.startAll(out); err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	if err := f.quiet(out); err != nil {
+	if err := f.measureQuiet(out); err != nil {
 		return err
 	}
 	f.configure()
 	generation := f.version
 	var err error
-	if out.Change, err = f.reach(time.Now(), reachBound, func(b *box.Box) bool {
+	if out.Change, err = f.awaitAll(time.Now(), reachBound, func(b *box.Box) bool {
 		return len(b.Table().Routes) >= generation
 	}); err != nil {
 		return fmt.Errorf("change of the configuration: %w", err)
 	}
 	f.putEndpoint(0, true)
-	if out.Endpoint, err = f.reach(time.Now(), reachBound, func(b *box.Box) bool {
+	if out.Endpoint, err = f.awaitAll(time.Now(), reachBound, func(b *box.Box) bool {
 		status, known := b.Directory().Status(endpointID(0))
 		return known && status.Draining
 	}); err != nil {
-		return fmt.Errorf("endpoint that drains: %w", err)
+		return fmt.Errorf("draining endpoint: %w", err)
 	}
 	return nil
 }
 
-// startAll starts the boxes and measures until some time after they know each other: the last
-// changes of membership are not the quiet time's.
-func (f *fleet) startAll(out *Report) error {
+// startAll starts the boxes and measures their start, until some time after they all know each
+// other, so that the last membership changes don't count towards the quiet period.
+func (f *testFleet) startAll(out *Report) error {
 	stop, err := profile(f.cfg.StartProfile)
 	if err != nil {
 		return err
@@ -115,11 +115,11 @@
 	defer stop()
 	begun, before, calls := time.Now(), usage(), f.store.Calls()
 	for i := range f.cfg.Boxes {
-		if err := f.start(i); err != nil {
+		if err := f.startBox(i); err != nil {
 			return err
 		}
 	}
-	if out.Start, err = f.reach(begun, startBound, f.whole); err != nil {
+	if out.Start, err = f.awaitAll(begun, startBound, f.complete); err != nil {
 		return err
 	}
 	time.Sleep(f.cfg.Quiet)
@@ -127,13 +127,13 @@
 	out.StartSeconds = (usage().cpu - before.cpu).Seconds() / n
 	out.StartCalls = float64(f.store.Calls()-calls) / n
 	out.StartSent = make(map[string]float64)
-	for kind, bytes := range f.sent() {
+	for kind, bytes := range f.bytesSent() {
 		out.StartSent[kind] = float64(bytes) / n
 	}
 	return nil
 }
 
-// profile begins a profile of the processor; the function that it returns ends it.
+// profile starts a CPU profile, unless path is empty, and returns the function that stops it.
 func profile(path string) (stop func(), err error) {
 	if path == "" {
 		return func() {}, nil
@@ -151,18 +151,18 @@
 	}, nil
 }
 
-// whole says whether a box is ready and knows all others and all endpoints.
-func (f *fleet) whole(b *box.Box) bool {
+// complete reports whether a box is ready and knows all boxes and the last endpoint written.
+func (f *testFleet) complete(b *box.Box) bool {
 	_, known := b.Directory().Status(endpointID(f.cfg.Endpoints - 1))
 	return known && b.Ready() && b.LiveBoxes() == f.cfg.Boxes
 }
 
 func endpointID(i int) string { return fmt.Sprintf("i-%08x", i) }
 
-func (f *fleet) zone(i int) string { return fmt.Sprintf("zone-%c", 'a'+rune(i%f.cfg.Zones)) }
+func (f *testFleet) zone(i int) string { return fmt.Sprintf("zone-%c", 'a'+rune(i%f.cfg.Zones)) }
 
-// putEndpoint writes the entry of an endpoint.
-func (f *fleet) putEndpoint(i int, draining bool) {
+// putEndpoint writes the entry of an endpoint to the store.
+func (f *testFleet) putEndpoint(i int, draining bool) {
 	state := "ready"
 	if draining {
 		state = "draining"
@@ -173,8 +173,8 @@
 	})
 }
 
-// configure accepts the next configuration, with one route more.
-func (f *fleet) configure() {
+// configure publishes the next version of the configuration, which has one more route.
+func (f *testFleet) configure() {
 	f.version++
 	c := standin.Configuration{Version: f.version, Services: []standin.Service{{Name: service, Engines: true, Slots: slots, HoldS: 1, SwitchS: 1}}}
 	for i := range f.version {
@@ -183,13 +183,13 @@
 	f.store.Configure(c)
 }
 
-// start runs a box.
-func (f *fleet) start(i int) error {
+// startBox creates a box and runs it in the background.
+func (f *testFleet) startBox(i int) error {
 	names := platform.Names()
 	const any = "127.0.0.1:0"
 	b, err := box.New(setting.Box{
 		Name: fmt.Sprintf("box-%04d", i), Zone: f.zone(i), BoxListen: any, OperatorListen: any,
-		Platform: f.store.Address(), PlatformProtocol: setting.PlatformObjects, PlatformReadsPerSecond: reads, StopSeconds: 1,
+		Platform: f.store.Address(), PlatformProtocol: setting.PlatformObjects, PlatformReadsPerSecond: storeReadRate, StopSeconds: 1,
 		Relay: setting.Relay{Listen: any, ReadyListen: any, RetryRatio: 0.2, RetrySlack: 1000, RetryWindowSeconds: 10},
 	}, box.Options{Log: f.cfg.Log, Platform: platform.New(f.store.Address()), Names: &names})
 	if err != nil {
@@ -198,18 +198,18 @@
 	ctx, stop := context.WithCancel(context.Background())
 	f.boxes = append(f.boxes, b)
 	f.stops = append(f.stops, stop)
-	f.ended.Go(func() error { return b.Run(ctx) })
+	f.running.Go(func() error { return b.Run(ctx) })
 	return nil
 }
 
-// quiet measures the fleet while nothing happens.
-func (f *fleet) quiet(out *Report) error {
+// measureQuiet measures the fleet while nothing changes.
+func (f *testFleet) measureQuiet(out *Report) error {
 	stop, err := profile(f.cfg.Profile)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	before, sent, calls := usage(), f.sent(), f.store.Calls()
+	before, sent, calls := usage(), f.bytesSent(), f.store.Calls()
 	time.Sleep(f.cfg.Quiet)
 	after := usage()
 	n := float64(f.cfg.Boxes)
@@ -218,7 +218,7 @@
 	out.Switches = float64(after.switches-before.switches) / seconds / n
 	out.Calls = float64(f.store.Calls()-calls) / seconds
 	out.Sent = make(map[string]float64)
-	for kind, bytes := range f.sent() {
+	for kind, bytes := range f.bytesSent() {
 		if more := bytes - sent[kind]; more > 0 {
 			out.Sent[kind] = float64(more) / seconds / n
 		}
@@ -234,21 +234,21 @@
 
 const bytesPerMB = 1 << 20
 
-// used is what this process has used.
-type used struct {
+// resourceUsage is the CPU time and the number of voluntary context switches of this process.
+type resourceUsage struct {
 	cpu      time.Duration
 	switches int64
 }
 
-func usage() used {
+func usage() resourceUsage {
 	var r syscall.Rusage
-	// The call fails for arguments only.
+	// The call fails only for invalid arguments.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
-	return used{cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), switches: r.Nvcsw}
+	return resourceUsage{cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), switches: r.Nvcsw}
 }
 
-// sent is what all boxes have sent to each other, in bytes by kind and distance.
-func (f *fleet) sent() map[string]uint64 {
+// bytesSent returns the bytes that all boxes have sent to each other, by kind and distance.
+func (f *testFleet) bytesSent() map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, b := range f.boxes {
 		for _, flow := range b.Status().Flows {
--- a/bench/fleet/report.go
+++ b/bench/fleet/report.go
@@ -16,36 +16,38 @@
 	"runridge.example/runridge/box"
 )
 
-// Report is what a fleet costs. Figures are those of one box, but where they say otherwise.
+// Report holds the measurements of a fleet. Figures are per box unless stated otherwise.
 type Report struct {
 	Boxes     int `json:"boxes"`
 	Endpoints int `json:"endpoints"`
-	// StartSeconds is the processor time of a start, and of the quiet time's length after it.
+	// StartSeconds is the CPU time of the start and of the quiet period's length after it.
 	StartSeconds float64 `json:"start_seconds"`
-	// StartCalls are the calls to the store meanwhile, and StartSent the bytes to other boxes
-	// by kind and distance.
+	// StartCalls is the number of calls to the store in that time, and StartSent the bytes
+	// sent to other boxes, by kind and distance.
 	StartCalls float64            `json:"start_calls"`
 	StartSent  map[string]float64 `json:"start_sent"`
-	// Cores is the processor time of a second, with that of the store's stand-in, and
-	// Switches how often a thread waited.
+	// Cores is the CPU time per second, including that of the store's stand-in, and
+	// Switches the number of voluntary context switches per second.
 	Cores    float64 `json:"cores"`
 	Switches float64 `json:"switches"`
 	HeapMB   float64 `json:"heap_mb"`
 	StackMB  float64 `json:"stack_mb"`
-	// Goroutines are those of the box and of its part of the stand-in.
+	// Goroutines includes the box's share of the stand-in's goroutines.
 	Goroutines float64 `json:"goroutines"`
-	// Calls are those of all boxes to the store, a second.
+	// Calls is the number of calls of all boxes to the store per second.
 	Calls float64 `json:"calls"`
-	// Sent is bytes a second to other boxes, by kind and distance.
+	// Sent is the bytes per second sent to other boxes, by kind and distance.
 	Sent map[string]float64 `json:"sent"`
-	// Start is until a box is ready and knows all others and all endpoints, Change and
-	// Endpoint until it has a changed configuration and an endpoint that drains.
+	// Start is the time until boxes are ready and know all boxes and endpoints. Change is
+	// the time until they have a changed configuration, and Endpoint until they know that an
+	// endpoint drains.
 	Start    Reach `json:"start"`
 	Change   Reach `json:"change"`
 	Endpoint Reach `json:"endpoint"`
 }
 
-// Reach is how long it takes until half of the boxes know something, 99 of 100, and the last.
+// Reach is how long it takes until half of the boxes, 99 % of them, and all of them know
+// something.
 type Reach struct {
 	Half time.Duration `json:"half"`
 	Most time.Duration `json:"most"`
@@ -53,36 +55,37 @@
 }
 
 const (
-	reachLook = 5 * time.Millisecond
-	mostShare = 0.99
+	pollInterval = 5 * time.Millisecond
+	mostRatio    = 0.99
 )
 
-var errNotReached = errors.New("not all boxes were reached")
+var errNotReached = errors.New("not all boxes know it")
 
-// reach waits until all boxes know something.
-func (f *fleet) reach(since time.Time, bound time.Duration, knows func(b *box.Box) bool) (Reach, error) {
+// awaitAll waits until knows is true for all boxes and returns the times since a start. It
+// errors if that takes longer than the bound.
+func (f *testFleet) awaitAll(since time.Time, bound time.Duration, knows func(b *box.Box) bool) (Reach, error) {
 	var out Reach
-	open := slices.Clone(f.boxes)
-	for len(open) > 0 {
-		open = slices.DeleteFunc(open, knows)
+	pending := slices.Clone(f.boxes)
+	for len(pending) > 0 {
+		pending = slices.DeleteFunc(pending, knows)
 		took := time.Since(since)
-		reached := len(f.boxes) - len(open)
+		reached := len(f.boxes) - len(pending)
 		if out.Half == 0 && reached*2 >= len(f.boxes) {
 			out.Half = took
 		}
-		if out.Most == 0 && float64(reached) >= mostShare*float64(len(f.boxes)) {
+		if out.Most == 0 && float64(reached) >= mostRatio*float64(len(f.boxes)) {
 			out.Most = took
 		}
 		out.Last = took
 		if took > bound {
 			return out, fmt.Errorf("%w within %s: %d of %d", errNotReached, bound, reached, len(f.boxes))
 		}
-		time.Sleep(reachLook)
+		time.Sleep(pollInterval)
 	}
 	return out, nil
 }
 
-// Print writes a table with a column for each fleet.
+// Print writes a table with a column for each report.
 func Print(w io.Writer, reports []Report) error {
 	out := tablewriter.NewWriter(w)
 	head := []any{"a box"}
@@ -124,7 +127,7 @@
 	return out.Render()
 }
 
-// addKinds writes a row for each kind of message and distance.
+// addKinds appends a row for each kind of message and distance.
 func addKinds(out *tablewriter.Table, name string, reports []Report, of func(r Report) map[string]float64) error {
 	kinds := make(map[string]bool)
 	for _, r := range reports {
@@ -144,7 +147,7 @@
 	return nil
 }
 
-// String gives the three times in milliseconds.
+// String formats the three times in milliseconds.
 func (r Reach) String() string {
 	return fmt.Sprintf("%d / %d / %d ms", r.Half.Milliseconds(), r.Most.Milliseconds(), r.Last.Milliseconds())
 }
--- a/bench/latency.go
+++ b/bench/latency.go
@@ -19,7 +19,8 @@
 	"runridge.example/runridge/state/example"
 )
 
-// Latency is what a box adds to a call of a plain service, in microseconds.
+// Latency holds the latencies of calls of a plain service, direct and through a box, in
+// microseconds, and the numbers of failed calls. Rate is in calls per second.
 type Latency struct {
 	Rate                     float64
 	DirectP50, DirectP99     int64
@@ -27,8 +28,8 @@
 	DirectFail, ThroughFails int
 }
 
-// MeasureLatency calls a plain service at a rate, straight and through a box,
-// in turn, so that the machine's mood strikes both alike.
+// MeasureLatency calls a plain service at a rate, alternating between direct calls and calls
+// through a box, so that variations in the machine's speed affect both equally.
 func MeasureLatency(ctx context.Context, rate float64, d time.Duration) (Latency, error) {
 	t, _ := example.Table(example.Bogota)
 	f, err := fleet.Start(ctx, fleet.Config{Table: t, Boxes: 1, Log: log.Discard()})
@@ -47,7 +48,7 @@
 	var mutex sync.Mutex
 	var wait sync.WaitGroup
 	begin := time.Now()
-	// Each of the two gets the whole rate.
+	// Direct calls and calls through the box each run at the full rate.
 	for n := 0; time.Since(begin) < d; n++ {
 		time.Sleep(time.Until(begin.Add(time.Duration(float64(n) / (2 * rate) * float64(time.Second)))))
 		which := n % 2
@@ -92,7 +93,7 @@
 	return time.Since(begin), nil
 }
 
-// Print writes the figures as one line that a script can read.
+// Print writes the latencies as one line of key=value pairs for scripts.
 func (l Latency) Print(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "bench latency rate=%.0f direct_p50_us=%d direct_p99_us=%d through_p50_us=%d through_p99_us=%d added_p99_us=%d failed=%d\n",
 		l.Rate, l.DirectP50, l.DirectP99, l.ThroughP50, l.ThroughP99, l.ThroughP99-l.DirectP99, l.DirectFail+l.ThroughFails)
--- a/bench/load.go
+++ b/bench/load.go
@@ -17,23 +17,23 @@
 	"runridge.example/runridge/protocol/callerapi"
 )
 
-// Outcome of one request as its caller saw it.
+// Outcome is the outcome of one request as its caller saw it.
 type Outcome string
 
-// Outcomes beside the refusals of the caller API.
+// Outcomes: those of the caller API's refusals, and those that only a caller can tell.
 const (
 	OutcomeFinished  Outcome = "finished"
 	OutcomeCancelled Outcome = "cancelled"
 	OutcomeNotRun            = Outcome(callerapi.OutcomeNotRun)
 	OutcomeUnknown           = Outcome(callerapi.OutcomeUnknown)
 	OutcomeFailed            = Outcome(callerapi.OutcomeFailed)
-	// OutcomeBroken: the connection ended without a final word.
+	// OutcomeBroken means that the connection ended before the answer was complete.
 	OutcomeBroken Outcome = "broken"
-	// OutcomeWrong: the answer was not the whole answer to this request.
+	// OutcomeWrong means that the answer was not the full expected answer to this request.
 	OutcomeWrong Outcome = "wrong"
 )
 
-// Seen is what one caller saw.
+// Seen is what a caller saw of one request.
 type Seen struct {
 	Request    string
 	Outcome    Outcome
@@ -46,14 +46,14 @@
 	Ended    time.Time
 }
 
-// Caller sends requests to boxes.
+// Caller sends requests to boxes over shared connections.
 type Caller struct {
 	http *http.Client
 }
 
 const maxCallerConns = 2000
 
-// NewCaller makes a caller.
+// NewCaller returns a Caller.
 func NewCaller() *Caller {
 	return &Caller{http: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: maxCallerConns,
@@ -61,13 +61,13 @@
 	}}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Caller) Close() {
 	c.http.CloseIdleConnections()
 }
 
-// Do sends one request to a box, reads its stream to the end and checks the
-// answer against what the engines generate for that prompt.
+// Do sends one request to a box, reads the stream to its end and compares the answer with what
+// the engines generate for that prompt.
 func (c *Caller) Do(ctx context.Context, address, model string, a Arrival) Seen {
 	if a.CancelAfter > 0 {
 		var cancel context.CancelFunc
@@ -123,7 +123,7 @@
 	seen.Reason = refusal.Error.Reason
 }
 
-// event is any event of a stream.
+// event is an event of a stream: a completion or an error.
 type event struct {
 	callerapi.Completion
 	Error *callerapi.RefusalBody `json:"error"`
@@ -139,7 +139,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			finish(a, text.String(), last, seen)
+			checkAnswer(a, text.String(), last, seen)
 			return
 		}
 		var e event
@@ -164,8 +164,8 @@
 	}
 }
 
-// finish checks a stream that came to its end mark.
-func finish(a Arrival, text string, last time.Time, seen *Seen) {
+// checkAnswer checks the answer of a stream that was ended by its end mark.
+func checkAnswer(a Arrival, text string, last time.Time, seen *Seen) {
 	seen.Outcome = OutcomeFinished
 	if want := strings.Join(engine.Answer(a.Prompt, a.OutputTokens), ""); text != want {
 		seen.Outcome = OutcomeWrong
--- a/bench/plan.go
+++ b/bench/plan.go
@@ -15,32 +15,32 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// TableWeight as a run's waste weight keeps the table's own.
+// TableWeight as the waste weight of a run keeps that of the table.
 const TableWeight = -1
 
-// variant is a policy that can be measured.
+// variant is a labelled policy that can be measured.
 type variant struct {
 	label  string
 	policy schedule.Policy
-	// weight is the waste weight; 0 keeps the table's, and the two ends are
-	// given as goodputOnly and wasteOnly.
-	weight weight
-	// ablation marks runridge with one decision switched off; without a
-	// choice of policies these run at one load only.
+	// wasteWeight keeps the table's weight by default; goodputOnly and wasteOnly are
+	// the two extremes.
+	wasteWeight wasteWeight
+	// ablation marks variants of runridge with one decision or objective disabled.
+	// Unless policies are chosen, these run at one load only.
 	ablation bool
 }
 
-// weight is how a variant sets the service's waste weight.
-type weight uint8
+// wasteWeight is how a variant sets the service's waste weight.
+type wasteWeight uint8
 
 const (
-	tableWeight weight = iota
+	tableDefault wasteWeight = iota
 	goodputOnly
 	wasteOnly
 )
 
-// value is the waste weight of a run.
-func (w weight) value() float64 {
+// value returns the waste weight for a run's configuration.
+func (w wasteWeight) value() float64 {
 	switch w {
 	case goodputOnly:
 		return 0
@@ -52,8 +52,8 @@
 }
 
 var variants = []variant{
-	{label: "goodput_only", weight: goodputOnly, ablation: true},
-	{label: "waste_only", weight: wasteOnly, ablation: true},
+	{label: "goodput_only", wasteWeight: goodputOnly, ablation: true},
+	{label: "waste_only", wasteWeight: wasteOnly, ablation: true},
 	{label: schedule.PolicyRoundRobin, policy: schedule.Policy{Name: schedule.PolicyRoundRobin}},
 	{label: schedule.PolicyLeastOutstanding, policy: schedule.Policy{Name: schedule.PolicyLeastOutstanding}},
 	{label: schedule.PolicyRunridge},
@@ -67,10 +67,10 @@
 	{label: "no_learning", policy: schedule.Policy{NoLearning: true}, ablation: true},
 }
 
-// ablationLoad is the load at which single decisions are switched off.
+// ablationLoad is the load at which ablations run by default.
 const ablationLoad = 1.3
 
-// PolicyNames lists what can be measured.
+// PolicyNames returns the labels of all variants, separated by commas.
 func PolicyNames() string {
 	names := make([]string, 0, len(variants))
 	for _, v := range variants {
@@ -79,20 +79,20 @@
 	return strings.Join(names, ", ")
 }
 
-// PlanConfig says which runs to make.
+// PlanConfig selects the runs of a plan.
 type PlanConfig struct {
 	Scenarios []string
-	// Policies empty means all, ablations at one load only.
+	// Policies are labels of variants; empty means all, with ablations at one load only.
 	Policies []string
 	Loads    []float64
-	// Faults is no, yes or both.
+	// Faults is "no", "yes" or "both".
 	Faults   string
 	Boxes    int
 	Duration time.Duration
 	Seed     uint64
 }
 
-// Plan lists the runs.
+// Plan returns the runs that a configuration selects. It errors for an unknown policy.
 func Plan(cfg PlanConfig) ([]RunConfig, error) {
 	for _, p := range cfg.Policies {
 		if !slices.ContainsFunc(variants, func(v variant) bool { return v.label == p }) {
@@ -105,12 +105,12 @@
 		for _, f := range faults {
 			for _, load := range cfg.Loads {
 				for _, v := range variants {
-					if !cfg.wants(v, load) {
+					if !cfg.includes(v, load) {
 						continue
 					}
 					out = append(out, RunConfig{
 						Scenario: scenario, Label: v.label, Policy: v.policy, Load: load, Faults: f,
-						Boxes: cfg.Boxes, Duration: cfg.Duration, Seed: cfg.Seed, WasteWeight: v.weight.value(),
+						Boxes: cfg.Boxes, Duration: cfg.Duration, Seed: cfg.Seed, WasteWeight: v.wasteWeight.value(),
 					})
 				}
 			}
@@ -119,14 +119,15 @@
 	return out, nil
 }
 
-func (c PlanConfig) wants(v variant, load float64) bool {
+func (c PlanConfig) includes(v variant, load float64) bool {
 	if len(c.Policies) > 0 {
 		return slices.Contains(c.Policies, v.label)
 	}
 	return !v.ablation || load == ablationLoad
 }
 
-// RunAll makes all runs, some at once, and reports each as it ends.
+// RunAll executes all runs, at most parallel at once, and calls each with every result as soon
+// as it is there. It returns the results in the order of the plan.
 func RunAll(ctx context.Context, plan []RunConfig, parallel int, each func(Result)) ([]Result, error) {
 	results := make([]Result, len(plan))
 	var runs errgroup.Group
--- a/bench/report.go
+++ b/bench/report.go
@@ -11,7 +11,7 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// PrintTable writes results as a table to read.
+// PrintTable writes results as a human-readable table.
 func PrintTable(w io.Writer, results []Result) error {
 	t := tablewriter.NewWriter(w)
 	t.Header("scenario", "policy", "load", "faults", "offered", "good/s", "bound", "ceiling", "of bound", "of ceiling", "wasted", "ttft p50/p95 ms", "token p50/p95 ms", "refused", "unknown", "failed", "held", "wrong")
@@ -24,8 +24,8 @@
 			fmt.Sprintf("%.1f", r.Goodput),
 			fmt.Sprintf("%.1f", r.Bound),
 			fmt.Sprintf("%.1f", r.Ceiling),
-			fmt.Sprintf("%.2f", share(r.Goodput, r.Bound)),
-			fmt.Sprintf("%.2f", share(r.Goodput, r.Ceiling)),
+			fmt.Sprintf("%.2f", ratio(r.Goodput, r.Bound)),
+			fmt.Sprintf("%.2f", ratio(r.Goodput, r.Ceiling)),
 			fmt.Sprintf("%.1f%%", 100*r.WastedShare),
 			fmt.Sprintf("%.0f/%.0f", r.FirstTokenP50, r.FirstTokenP95),
 			fmt.Sprintf("%.1f/%.1f", r.PerTokenP50, r.PerTokenP95),
@@ -42,14 +42,14 @@
 	return t.Render()
 }
 
-func share(part, whole float64) float64 {
+func ratio(part, whole float64) float64 {
 	if whole <= 0 {
 		return 0
 	}
 	return part / whole
 }
 
-// PrintLines writes each result as one line that a script can read.
+// PrintLines writes each result as one line of key=value pairs for scripts.
 func PrintLines(w io.Writer, results []Result) error {
 	for _, r := range results {
 		pairs := []string{
@@ -59,8 +59,8 @@
 			fmt.Sprintf("load=%.1f", r.Load),
 			fmt.Sprintf("faults=%v", r.Faults),
 			fmt.Sprintf("goodput=%.2f", r.Goodput),
-			fmt.Sprintf("of_bound=%.3f", share(r.Goodput, r.Bound)),
-			fmt.Sprintf("of_ceiling=%.3f", share(r.Goodput, r.Ceiling)),
+			fmt.Sprintf("of_bound=%.3f", ratio(r.Goodput, r.Bound)),
+			fmt.Sprintf("of_ceiling=%.3f", ratio(r.Goodput, r.Ceiling)),
 			fmt.Sprintf("wasted=%.4f", r.WastedShare),
 			fmt.Sprintf("first_token_p95_ms=%.1f", r.FirstTokenP95),
 			fmt.Sprintf("per_token_p95_ms=%.2f", r.PerTokenP95),
--- a/bench/run.go
+++ b/bench/run.go
@@ -18,7 +18,7 @@
 	"runridge.example/runridge/state/table"
 )
 
-// RunConfig is one run: one policy at one load.
+// RunConfig configures a run of one policy at one load.
 type RunConfig struct {
 	Scenario string          `json:"scenario"`
 	Label    string          `json:"label"`
@@ -28,29 +28,31 @@
 	Boxes    int             `json:"boxes"`
 	Duration time.Duration   `json:"duration_ns"`
 	Seed     uint64          `json:"seed"`
-	// WasteWeight, if not negative, replaces the table's.
+	// WasteWeight replaces the table's waste weight unless it is negative.
 	WasteWeight float64     `json:"waste_weight"`
 	Log         logrusLevel `json:"-"`
 }
 
-// logrusLevel keeps the logger out of results.
+// logrusLevel wraps the logger, which is not part of encoded results.
 type logrusLevel struct{ Logger log.Logger }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	RunConfig
 	Offered  int            `json:"offered"`
 	Outcomes map[string]int `json:"outcomes"`
 	Reasons  map[string]int `json:"reasons"`
-	// Good is the requests finished within both targets.
+	// Good is the number of requests that finished within both latency targets.
 	Good int `json:"good"`
-	// Goodput is Good a second. Bound is what engines that never pause could
-	// do with requests of the usual size; Ceiling is what they could do with
-	// this trace if they took the smallest requests and left the others.
+	// Goodput is Good per second. Bound and Ceiling are requests per second
+	// too: Bound is what engines that are never idle could serve of requests of
+	// average size, at most the offered rate; Ceiling is what they could serve of
+	// this trace if they served only the smallest requests.
 	Goodput float64 `json:"goodput"`
 	Bound   float64 `json:"bound"`
 	Ceiling float64 `json:"ceiling"`
-	// PrefillTokens were computed, WastedTokens of them for nothing.
+	// PrefillTokens is the number of prompt tokens computed; WastedTokens is how
+	// many of them contributed to no answer.
 	PrefillTokens int     `json:"prefill_tokens"`
 	WastedTokens  int     `json:"wasted_tokens"`
 	WastedShare   float64 `json:"wasted_share"`
@@ -59,27 +61,28 @@
 	FirstTokenP95 float64 `json:"first_token_p95_ms"`
 	PerTokenP50   float64 `json:"per_token_p50_ms"`
 	PerTokenP95   float64 `json:"per_token_p95_ms"`
-	// Held is the attempts that engines still keep memory for afterwards.
+	// Held is the number of attempts for which engines still hold memory after the run.
 	Held int `json:"held"`
-	// Doubled is the requests decoded to the end more than once, Wrong those
-	// whose caller got another answer than its own.
+	// Wrong is the number of requests whose caller got another answer than the
+	// expected one.
 	Wrong int `json:"wrong"`
 }
 
 const (
-	// settle bounds the wait for requests in flight after the last arrival.
-	settle = 20 * time.Second
-	// holdSettle bounds the wait for the engines' memory to come free.
-	holdSettle = 5 * time.Second
-	holdLook   = 10 * time.Millisecond
-	// Faults of a run with faults.
-	faultCancels   = 0.03
-	faultReportLag = 2 * time.Second
-	faultGapEvery  = 3
-	faultTimeoutMS = 4000
+	// drainTime bounds the wait for requests in flight after the last arrival.
+	drainTime = 20 * time.Second
+	// holdDrainTime bounds the wait until engines have freed their memory.
+	holdDrainTime    = 5 * time.Second
+	holdPollInterval = 10 * time.Millisecond
+	// Settings of a run with faults: the share of callers that cancel, the delay of load
+	// reports, one in how many pages of cache events is lost, and the timeout of orders to engines.
+	faultCancelShare = 0.03
+	faultReportLag   = 2 * time.Second
+	faultGapEvery    = 3
+	faultTimeoutMS   = 4000
 )
 
-// Run measures one policy at one load.
+// Run measures one policy at one load with a fleet and a trace of its own.
 func Run(ctx context.Context, cfg RunConfig) (Result, error) {
 	t, ok := tableOf(cfg.Scenario)
 	if !ok {
@@ -91,7 +94,7 @@
 	cancels := 0.0
 	fc := fleet.Config{Table: t, Boxes: cfg.Boxes, Policy: cfg.Policy, Log: cfg.logger(), StepTimeoutMS: faultTimeoutMS}
 	if cfg.Faults {
-		cancels = faultCancels
+		cancels = faultCancelShare
 		fc.ReportLag = faultReportLag
 		fc.GapEvery = faultGapEvery
 	}
@@ -107,7 +110,7 @@
 		return Result{}, err
 	}
 	defer f.Stop()
-	seen := play(ctx, f, trace, cfg)
+	seen := replay(ctx, f, trace, cfg)
 	held := AwaitFree(f)
 	return summarize(cfg, t, trace, seen, capacity, f.Ledger.Requests(), held), nil
 }
@@ -119,14 +122,14 @@
 	return c.Log.Logger
 }
 
-// play sends the trace, each request at its time to the next box in turn.
-func play(ctx context.Context, f *fleet.Fleet, trace []Arrival, cfg RunConfig) []Seen {
+// replay sends each request of the trace at its time, to the boxes in round robin.
+func replay(ctx context.Context, f *fleet.Fleet, trace []Arrival, cfg RunConfig) []Seen {
 	caller := NewCaller()
 	defer caller.Close()
 	model := f.Table().Services[0].Name
 	seen := make([]Seen, len(trace))
 	var wait sync.WaitGroup
-	ctx, cancel := context.WithTimeout(ctx, cfg.Duration+settle)
+	ctx, cancel := context.WithTimeout(ctx, cfg.Duration+drainTime)
 	defer cancel()
 	if cfg.Faults {
 		stop := injectFaults(ctx, f, cfg.Duration)
@@ -144,8 +147,8 @@
 	return seen
 }
 
-// injectFaults lets an engine of each role die and come back, and transfers
-// stall, at set times of the run.
+// injectFaults kills and restarts an engine of each role and stalls transfers, at fixed
+// fractions of the run's duration. The returned function cancels faults to come and waits.
 func injectFaults(ctx context.Context, f *fleet.Fleet, d time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wait sync.WaitGroup
@@ -169,7 +172,7 @@
 			}
 		}
 	}
-	// Figures are shares of the run's duration.
+	// The numbers are fractions of the run's duration.
 	at(0.25, func() { f.Engines[victims[0]].Kill() })
 	at(0.45, func() { _ = f.RestartEngine(victims[0]) })
 	at(0.40, func() { f.Links.StallNext(2) })
@@ -182,11 +185,12 @@
 	}
 }
 
-// AwaitFree waits for the engines' memory to come free and returns what stays.
+// AwaitFree waits until the engines hold no memory, or holdDrainTime has passed, and returns
+// the number of attempts that still hold some.
 func AwaitFree(f *fleet.Fleet) int {
-	deadline := time.Now().Add(holdSettle)
+	deadline := time.Now().Add(holdDrainTime)
 	for f.Held() > 0 && time.Now().Before(deadline) {
-		time.Sleep(holdLook)
+		time.Sleep(holdPollInterval)
 	}
 	return f.Held()
 }
@@ -221,7 +225,7 @@
 		finished[s.Request] = true
 		_ = first.RecordValue(s.FirstToken.Microseconds())
 		_ = per.RecordValue(s.PerToken.Microseconds())
-		if good(t.Services[0], trace[i], s) {
+		if meetsTargets(t.Services[0], trace[i], s) {
 			r.Good++
 		}
 	}
@@ -229,7 +233,7 @@
 	r.Bound = min(float64(len(trace))/cfg.Duration.Seconds(), c.PerSecond)
 	last := cfg.Duration + time.Duration(t.Services[0].FirstTokenMS)*time.Millisecond
 	r.Ceiling = float64(c.Ceiling(trace, last)) / cfg.Duration.Seconds()
-	r.waste(work, finished)
+	r.countWaste(work, finished)
 	const msPerUS = 1e-3
 	r.FirstTokenP50 = float64(first.ValueAtQuantile(50)) * msPerUS
 	r.FirstTokenP95 = float64(first.ValueAtQuantile(95)) * msPerUS
@@ -238,15 +242,15 @@
 	return r
 }
 
-// good says whether a finished request met both targets.
-func good(s table.Service, a Arrival, seen Seen) bool {
+// meetsTargets reports whether a finished request met both latency targets.
+func meetsTargets(s table.Service, a Arrival, seen Seen) bool {
 	target := time.Duration(s.FirstTokenMS+s.FirstTokenMSPer1K*a.PromptTokens/1000) * time.Millisecond
 	return seen.FirstToken <= target && seen.PerToken <= time.Duration(s.PerTokenMS)*time.Millisecond
 }
 
-// waste counts the prefill that was computed for nothing: all of it for a
-// request without a whole answer, all but the largest attempt for one with.
-func (r *Result) waste(work map[string]engine.Work, finished map[string]bool) {
+// countWaste counts the prefill tokens that were wasted: all of them for a request without a
+// complete answer, and all but those of the largest attempt for a request with one.
+func (r *Result) countWaste(work map[string]engine.Work, finished map[string]bool) {
 	for id, w := range work {
 		sum, largest := 0, 0
 		for _, n := range w.Computed {
--- a/bench/slopes/slopes_test.go
+++ b/bench/slopes/slopes_test.go
@@ -24,7 +24,7 @@
 `
 
 func TestParse(t *testing.T) {
-	convey.Convey("Sizes and figures are read, a size without a figure too", t, func() {
+	convey.Convey("Sizes and figures are parsed, including a size without a value", t, func() {
 		s, err := slopes.Parse(text)
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(s.Boxes, convey.ShouldResemble, []float64{30, 100, 300})
@@ -33,7 +33,7 @@
 		convey.So(s.Figures[0].Busiest, convey.ShouldResemble, []float64{8.5, 9.7, 16.2})
 		convey.So(math.IsNaN(s.Figures[1].Middle[2]), convey.ShouldBeTrue)
 	})
-	convey.Convey("A deployment without a size to grow to has all its sizes read", t, func() {
+	convey.Convey("All sizes are parsed if there is no size to extrapolate to", t, func() {
 		s, err := slopes.Parse(strings.Replace(text, "at 337", "at null", 1))
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(s.Boxes, convey.ShouldResemble, []float64{30, 100, 300})
@@ -45,7 +45,7 @@
 }
 
 func TestFit(t *testing.T) {
-	convey.Convey("A power law is found, whatever is missing", t, func() {
+	convey.Convey("A power law is fitted despite missing values", t, func() {
 		f, ok := slopes.FitOf([]float64{30, 100, 300}, []float64{3 * math.Sqrt(30), math.NaN(), 3 * math.Sqrt(300)})
 		convey.So(ok, convey.ShouldBeTrue)
 		convey.So(f.Power, convey.ShouldAlmostEqual, 0.5)
--- a/bench/trace.go
+++ b/bench/trace.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package bench drives real boxes with fake engines and measures what callers
-// see and what the engines did.
+// Package bench runs benchmarks of real boxes with fake engines. It measures what callers see
+// and what the engines compute.
 package bench
 
 import (
@@ -22,43 +22,45 @@
 	At           time.Duration
 	Prompt       string
 	PromptTokens int
-	// Shared is the part of the prompt that other requests share, in tokens.
+	// Shared is the length of the prefix shared with other requests, in tokens.
 	Shared       int
 	OutputTokens int
 	Account      string
 	// Once marks a request that must not be repeated.
 	Once bool
-	// CancelAfter, if above 0, is when the caller goes away.
+	// CancelAfter is how long after the start the caller cancels; 0 is never.
 	CancelAfter time.Duration
 }
 
-// shape is how a user's prompts are distributed.
-type shape struct {
-	median, sigma float64
-	least, most   int
-	// shared prompts: how many there are and how long.
-	variants, sharedTokens int
-	outLeast, outMost      int
+// promptShape describes the distribution of a scenario's prompt and output lengths, in tokens.
+// The part of a prompt after the shared prefix has a log-normal length, clamped to minTokens
+// and maxTokens.
+type promptShape struct {
+	median, sigma        float64
+	minTokens, maxTokens int
+	// sharedPrompts is the number of shared prefixes, and sharedTokens their length.
+	sharedPrompts, sharedTokens int
+	minOutput, maxOutput        int
 }
 
-// Scenarios on Bogotá's table beside its own.
+// Additional scenarios on Bogotá's table.
 const (
-	// Replies drafts customer replies: short questions, long answers.
+	// Replies models drafts of customer replies: short questions, long answers.
 	Replies = "replies"
-	// Documents reads long documents into short answers, with few slots on
-	// each decode engine, so that a prefill's time is much of a slot's.
+	// Documents models short answers to long documents, with few slots on each
+	// decode engine, so that prefill takes a large part of the time of a slot.
 	Documents = "documents"
 )
 
-// documentSlots is the slots of each decode engine in Documents.
+// documentSlots is the number of slots of each decode engine in Documents.
 const documentSlots = 3
 
-// Scenarios lists what can be run.
+// Scenarios returns the names of all scenarios.
 func Scenarios() []string {
 	return append(example.Names(), Replies, Documents)
 }
 
-// tableOf is the table of a scenario.
+// tableOf returns the table of a scenario, and false if there is no such scenario.
 func tableOf(scenario string) (table.Table, bool) {
 	switch scenario {
 	case Replies:
@@ -77,30 +79,30 @@
 	}
 }
 
-var shapes = map[string]shape{
+var shapes = map[string]promptShape{
 	// Donor-carrier rules against contracts: many variants, short verdicts.
-	example.Bogota: {median: 600, sigma: 1.0, least: 30, most: 24_000, variants: 12, sharedTokens: 768, outLeast: 32, outMost: 96},
+	example.Bogota: {median: 600, sigma: 1.0, minTokens: 30, maxTokens: 24_000, sharedPrompts: 12, sharedTokens: 768, minOutput: 32, maxOutput: 96},
+	// Drafted replies: short questions, long answers, so that decode slots are the scarce
+	// resource.
+	Replies:   {median: 250, sigma: 0.7, minTokens: 30, maxTokens: 4_000, sharedPrompts: 12, sharedTokens: 256, minOutput: 200, maxOutput: 400},
+	Documents: {median: 2400, sigma: 0.5, minTokens: 400, maxTokens: 12_000, sharedPrompts: 12, sharedTokens: 256, minOutput: 60, maxOutput: 120},
 	// Long order sheets against one price list, short tags.
-	// Drafted replies: short questions, long answers, so that decode slots are
-	// what is scarce.
-	Replies:         {median: 250, sigma: 0.7, least: 30, most: 4_000, variants: 12, sharedTokens: 256, outLeast: 200, outMost: 400},
-	Documents:       {median: 2400, sigma: 0.5, least: 400, most: 12_000, variants: 12, sharedTokens: 256, outLeast: 60, outMost: 120},
-	example.Kolkata: {median: 1400, sigma: 0.9, least: 60, most: 30_000, variants: 3, sharedTokens: 1024, outLeast: 24, outMost: 64},
+	example.Kolkata: {median: 1400, sigma: 0.9, minTokens: 60, maxTokens: 30_000, sharedPrompts: 3, sharedTokens: 1024, minOutput: 24, maxOutput: 64},
 }
 
-// sharedPart is how many requests start with a shared prefix, of ten.
-const sharedPart = 7
+// sharedOfTen is how many of ten requests start with a shared prefix.
+const sharedOfTen = 7
 
-// bytesPerToken is the length of a token in the traces' texts.
+// bytesPerToken is the length of a token in the texts of traces.
 const bytesPerToken = 4
 
-// draw makes one request's sizes and text.
-func (s shape) draw(r *rand.Rand, shared []string) Arrival {
+// draw draws the sizes and the prompt of one request.
+func (s promptShape) draw(r *rand.Rand, shared []string) Arrival {
 	tokens := int(math.Exp(math.Log(s.median) + s.sigma*r.NormFloat64()))
-	tokens = min(max(tokens, s.least), s.most)
-	a := Arrival{OutputTokens: s.outLeast + r.IntN(s.outMost-s.outLeast+1)}
+	tokens = min(max(tokens, s.minTokens), s.maxTokens)
+	a := Arrival{OutputTokens: s.minOutput + r.IntN(s.maxOutput-s.minOutput+1)}
 	prefix := ""
-	if r.IntN(10) < sharedPart {
+	if r.IntN(10) < sharedOfTen {
 		prefix = shared[r.IntN(len(shared))]
 		a.Shared = s.sharedTokens
 	}
@@ -109,7 +111,7 @@
 	return a
 }
 
-// Text makes a text of so many tokens.
+// Text returns a random text of a number of tokens.
 func Text(r *rand.Rand, tokens int) string {
 	var b strings.Builder
 	b.Grow(tokens * bytesPerToken)
@@ -119,55 +121,54 @@
 	return b.String()
 }
 
-// Ceiling is the most requests of a trace that any policy could answer within
-// the time: the smallest first, all engines at work without a pause.
+// Ceiling returns an upper bound on the number of requests of a trace that any policy could
+// answer within a time: the smallest requests first, with no engine ever idle.
 func (c Capacity) Ceiling(trace []Arrival, within time.Duration) int {
 	costs := make([]float64, len(trace))
 	for i, a := range trace {
 		costs[i] = c.cost(a)
 	}
 	slices.Sort(costs)
-	left := c.Engines * within.Seconds()
+	remaining := c.Engines * within.Seconds()
 	for n, cost := range costs {
-		left -= cost
-		if left < 0 {
+		remaining -= cost
+		if remaining < 0 {
 			return n
 		}
 	}
 	return len(costs)
 }
 
-// cost is the engine seconds that a request takes.
+// cost returns the engine time that a request takes, in seconds.
 func (c Capacity) cost(a Arrival) float64 {
 	return float64(a.PromptTokens-a.Shared)*c.PrefillSeconds + answerTokens(a)*c.TokenSeconds
 }
 
-// Capacity is the most that a table's engines can do with a kind of request,
-// in requests a second.
+// Capacity is an upper bound on the rate at which a table's engines can serve requests of
+// given sizes, in requests per second.
 type Capacity struct {
-	// PerSecond is the lesser of the next two.
+	// PerSecond is the smaller of Decode and All.
 	PerSecond float64
-	// Decode is the bound when decode engines only decode.
+	// Decode is the bound if the decode engines do all the decoding and nothing else.
 	Decode float64
-	// All is the bound when all engines share all work.
+	// All is the bound if all engines share all work.
 	All float64
-	// Engines is the number of engines; PrefillSeconds and TokenSeconds are
-	// the engine time of a token computed and of one generated.
+	// Engines is the number of engines. PrefillSeconds and TokenSeconds are the
+	// engine time per prompt token computed and per token generated.
 	Engines                      float64
 	PrefillSeconds, TokenSeconds float64
 }
 
-// sampleSize is how many requests a capacity is reckoned over.
+// sampleSize is the number of requests from which a capacity is computed.
 const sampleSize = 4000
 
-// capacityOf reckons a bound that no policy can pass, because it keeps every
-// engine at work without a pause: each shared prefix is found in the cache,
-// decode engines run the largest batch that keeps the per-token target, and
-// prefill goes to decode engines too as far as decoding leaves them time.
-// Memory, links, targets for the first token and round trips are left out.
+// capacityOf computes a bound that no policy can exceed, because it assumes that no engine is
+// ever idle: each shared prefix is in the cache, decode engines run the largest batch that
+// meets the per-token target, and they also run prefill in the time that decoding leaves.
+// It ignores memory, links, first-token targets and round trips.
 func capacityOf(t table.Table, service string, sample []Arrival) Capacity {
 	s, _ := t.Service(service)
-	// Engine seconds that one request takes, and engines there are.
+	// Sums of the engines' rates in tokens per second, and numbers of engines.
 	var prefillRate, tokenRate, prefillEngines, decodeEngines float64
 	for _, g := range t.GroupsOf(service) {
 		for _, m := range g.Members {
@@ -201,8 +202,8 @@
 	return c
 }
 
-// fullBatchRate is the tokens a second of a decode engine's largest batch
-// within the per-token target.
+// fullBatchRate returns the rate of a decode engine, in tokens per second, with the largest
+// batch that meets the per-token target.
 func fullBatchRate(s table.Service, e table.Endpoint) float64 {
 	batch := (s.PerTokenMS*1000 - e.StepBaseUS) / max(e.StepPerRequestUS, 1)
 	batch = min(max(batch, 1), e.Slots)
@@ -210,32 +211,33 @@
 	return float64(batch) / step
 }
 
-// answerTokens is the usual length of an answer: three quarters of the most.
+// answerTokens returns the expected length of an answer: three quarters of the maximum.
 func answerTokens(a Arrival) float64 {
-	const usual = 0.75
-	return usual * float64(a.OutputTokens)
+	const expectedShare = 0.75
+	return expectedShare * float64(a.OutputTokens)
 }
 
-// TraceConfig says what trace to make.
+// TraceConfig configures a trace.
 type TraceConfig struct {
 	Scenario string
 	Table    table.Table
-	// Load is the offered load over what the engines can do.
+	// Load is the offered load as a multiple of the engines' capacity.
 	Load     float64
 	Duration time.Duration
-	// Cancels is the share of callers that go away early, 0 to 1.
+	// Cancels is the fraction of callers that cancel, from 0 to 1.
 	Cancels float64
 	Seed    uint64
 }
 
-// Trace makes open-loop arrivals: Poisson, at a rate of load times capacity.
+// Trace returns open-loop Poisson arrivals at a rate of load times capacity, and the capacity.
+// It errors for an unknown scenario.
 func Trace(cfg TraceConfig) ([]Arrival, Capacity, error) {
 	s, ok := shapes[cfg.Scenario]
 	if !ok {
 		return nil, Capacity{}, fmt.Errorf("scenario %q: allowed are %s", cfg.Scenario, strings.Join(Scenarios(), ", "))
 	}
 	r := rand.New(rand.NewPCG(cfg.Seed, 1))
-	shared := make([]string, s.variants)
+	shared := make([]string, s.sharedPrompts)
 	for i := range shared {
 		shared[i] = Text(r, s.sharedTokens)
 	}
@@ -256,11 +258,11 @@
 		a.At = at
 		a.Account = cfg.Table.Accounts[r.IntN(len(cfg.Table.Accounts))].Name
 		if r.Float64() < cfg.Cancels {
-			a.CancelAfter = time.Duration(r.Int64N(int64(longestPatience)))
+			a.CancelAfter = time.Duration(r.Int64N(int64(maxCancelTime)))
 		}
 		out = append(out, a)
 	}
 }
 
-// longestPatience bounds when a caller that goes away does so.
-const longestPatience = 1500 * time.Millisecond
+// maxCancelTime bounds how long after the start a caller that cancels does so.
+const maxCancelTime = 1500 * time.Millisecond
