--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,12 @@
 # Copyright 2026 The Runridge Authors. All rights reserved.
 # SPDX-License-Identifier: MIT
 
-# The targets are the contributor's interface; CONTRIBUTING.md explains them.
+# CONTRIBUTING.md explains the targets for contributors.
 
 GO ?= go
 FUZZ_CHECKS ?= 200000
 FUZZ_TIME ?= 60s
-# The linter's version is declared here and nowhere else; it brings gofumpt.
+# The only place that sets the linter's version; golangci-lint includes gofumpt.
 LINT_VERSION := v2.12.0
 LINT := bin/tools/golangci-lint-$(LINT_VERSION)
 VERSION ?= $(shell git describe --tags --always 2>/dev/null || echo dev)
@@ -20,7 +20,7 @@
 	$(GO) build -ldflags '$(LDFLAGS)' -o bin/ ./cmd/...
 
 .PHONY: demo
-demo: ## Show the router at work, about 20 s, in one process
+demo: ## Run a demo of the router in one process, about 20 s
 	$(GO) run ./cmd/runridge-bench demo
 
 .PHONY: test
@@ -28,24 +28,24 @@
 	$(GO) test -race -timeout 20m $(if $(TESTFLAGS),'$(TESTFLAGS)') ./...
 
 .PHONY: bench
-bench: ## Measure policies side by side; takes some minutes
+bench: ## Compare the scheduling policies; takes a few minutes
 	mkdir -p out
 	$(GO) run ./cmd/runridge-bench run --json out/bench.json
 
 .PHONY: soak
-soak: build ## Try the promises under faults, with eight boxes as processes and a fresh seed; a minute
+soak: build ## Check the guarantees under injected faults, with eight boxes as processes and a new seed; a minute
 	bin/runridge-bench soak
 
 .PHONY: soak-seeds
-soak-seeds: build ## All of the soak's fixed seeds; some minutes
+soak-seeds: build ## Run the soak with all of its fixed seeds; a few minutes
 	bin/runridge-bench soak --file bench/soak/seeds.txt --jobs 4
 
 .PHONY: soak-ci
-soak-ci: build ## The fixed seeds that CI plays; about a minute
+soak-ci: build ## Run the soak with the short list of fixed seeds (seeds-ci.txt); about a minute
 	bin/runridge-bench soak --file bench/soak/seeds-ci.txt --jobs 6
 
 .PHONY: bench-decision
-bench-decision: ## Measure one placement decision
+bench-decision: ## Benchmark one placement decision
 	$(GO) test -run '^$$' -bench 'Place|Ask' -benchmem ./state/schedule
 
 $(LINT):
@@ -54,7 +54,7 @@
 	mv bin/tools/install/golangci-lint $@
 
 .PHONY: mutants
-mutants: ## Show that the tests find deliberate faults
+mutants: ## Check that the tests detect deliberate faults
 	$(GO) run ./tests/mutants
 
 .PHONY: model
@@ -62,11 +62,11 @@
 	model/check.sh
 
 .PHONY: model-mutants
-model-mutants: ## Show that each guard left out of a model is found
+model-mutants: ## Check that the models detect the removal of each guard; needs spin
 	model/check.sh mutants
 
 .PHONY: fuzz
-fuzz: ## Fresh inputs for the readers, a minute each, and long runs of the model-based tests with a new seed
+fuzz: ## Fuzz the parsers, a minute each, and run the model-based tests for long with a new seed
 	$(GO) test ./transport/relayhttp -run '^$$' -fuzz '^FuzzFraming$$' -fuzztime $(FUZZ_TIME)
 	$(GO) test ./transport/upstream -run '^$$' -fuzz '^FuzzAnswers$$' -fuzztime $(FUZZ_TIME)
 	$(GO) test ./protocol/boxwire -run '^$$' -fuzz '^FuzzRead$$' -fuzztime $(FUZZ_TIME)
--- a/bench/days/play.sh
+++ b/bench/days/play.sh
@@ -2,8 +2,9 @@
 # Copyright 2026 The Runridge Authors. All rights reserved.
 # SPDX-License-Identifier: MIT
 #
-# Plays the days of this folder on the users' bench and prints one line a day.
-# BENCH is the bench's program, SITES the site files, JOBS how many days at once.
+# Runs each day file (*.toml) of this folder on the users' bench, once per site,
+# and prints one line per run. BENCH is the bench program, SITES lists the site
+# files, and JOBS is the number of parallel runs (2 if unset).
 set -euo pipefail
 : "${BENCH:?the bench program}" "${SITES:?one or more site files}"
 days=$(cd "$(dirname "$0")" && pwd)
--- a/model/check.sh
+++ b/model/check.sh
@@ -2,14 +2,16 @@
 # Copyright 2026 The Runridge Authors. All rights reserved.
 # SPDX-License-Identifier: MIT
 #
-# Checks the models exhaustively (check.sh), or shows that each deliberate
-# fault is found (check.sh mutants). One line for each run.
+# Checks the models exhaustively (check.sh), or checks that each deliberate
+# fault violates an assertion (check.sh mutants). Prints one line per run and
+# fails if a result differs from the expected one.
 set -euo pipefail
 cd "$(dirname "$0")"
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# run MODEL FLAGS... prints "ok", "violated" or "incomplete".
+# run MODEL FLAGS... prints "ok states=N", "violated", "incomplete" (the search
+# did not finish) or "broken" (the model did not compile).
 run() {
 	local model=$1
 	shift
@@ -33,6 +35,7 @@
 }
 
 failed=0
+# expect RESULT NAME MODEL FLAGS... runs a model and compares the result.
 expect() {
 	local want=$1 name=$2
 	shift 2
--- a/model/config.pml
+++ b/model/config.pml
@@ -1,19 +1,21 @@
 /* Copyright 2026 The Runridge Authors. All rights reserved.
  * SPDX-License-Identifier: MIT
  *
- * Two operators change the table at once; answers of writes may be lost after
- * they took effect; two boxes read it, maybe from a replica that is behind,
- * tell each other of what they have in force, and one of them restarts.
+ * Two operators change the table concurrently, and the answer to a write may be
+ * lost after the write took effect. Two boxes read the table, possibly from a
+ * stale replica, announce the generation they have in force to each other, and
+ * one of them restarts.
  *
- *   never_older   the generation in force on a box never falls, and a box that
- *                 restarts while another lives does not begin with an older
- *                 one than it had;
- *   no_lost_update  each accepted change stays: the number of accepted changes
- *                 is the generation;
- *   told_right    an operator is told "accepted" exactly if the change was.
+ *   never_older     the generation in force on a box never decreases, and a box
+ *                   that restarts while another lives does not start with an
+ *                   older generation than it had;
+ *   no_lost_update  every accepted change stays: the number of accepted changes
+ *                   is the generation;
+ *   correct_reply   an operator is told "accepted" exactly if the change was.
  *
- * Code: coordination/follow, cmd/runridgectl. Left out: the contents of the
- * table (a write is its writer's name), and the tree that changes travel along.
+ * Code: coordination/follow, cmd/runridgectl. Not modeled: the contents of the
+ * table (a write is represented by its writer), and the tree along which changes
+ * are distributed.
  *
  * Deliberate faults: NO_GENERATION_CHECK, NO_VERSION_CHECK, NO_READ_BACK,
  * NO_GATE.
@@ -21,16 +23,17 @@
 
 #define WRITES 2
 
-/* The platform's object: version 0 is none; by[v] is who wrote version v. */
+/* The platform's object. Version 0 means that it does not exist; by[v] is the
+ * writer of version v. */
 byte version = 0;
 byte by[8];
 byte accepted = 0;
 
 /* The boxes. */
-byte force[2];    /* generation in force */
-byte before[2];   /* what was in force before a restart */
-byte heard[2];    /* what the other box has named */
-bool fresh[2];    /* has just started and waits at the gate */
+byte in_force[2];       /* generation in force */
+byte before_restart[2]; /* generation in force before the restart */
+byte announced[2];      /* latest generation received from the other box */
+bool starting[2];       /* has just started and waits at the gate before it serves */
 bool restarted = false;
 
 inline write(me, seen, ok) {
@@ -47,16 +50,16 @@
 }
 
 proctype operator(byte me) {
-	byte seen, k, i;
-	bool ok, lost, did;
+	byte seen, writes_done, i;
+	bool ok, lost, took_effect;
 	do
-	:: k == WRITES -> break
-	:: k < WRITES ->
+	:: writes_done == WRITES -> break
+	:: writes_done < WRITES ->
 		seen = version;
-		did = false;
+		took_effect = false;
 		atomic {
 			write(me, seen, ok);
-			did = ok;
+			took_effect = ok;
 			if :: lost = true :: lost = false fi
 		};
 		if
@@ -64,48 +67,48 @@
 #ifdef NO_READ_BACK
 			ok = false;
 #else
-			/* Look whether the version after the one seen is ours. Others may
-			 * have written on top of it meanwhile. */
+			/* Check whether this operator wrote the version after the one it read.
+			 * Others may have written later versions meanwhile. */
 			atomic { ok = (version > seen && by[seen + 1] == me) };
 #endif
 		:: else -> skip
 		fi;
-		assert(ok == did); /* told_right */
-		k++
+		assert(ok == took_effect); /* correct_reply */
+		writes_done++
 	od;
 	assert(accepted == version) /* no_lost_update */
 }
 
 proctype box(byte b) {
-	byte got;
+	byte read_generation;
 end:	do
 	:: atomic { version > 0 ->
-		/* A read that may be behind. */
+		/* The read may be stale. */
 		if
-		:: got = version
-		:: version > 1 -> got = version - 1
+		:: read_generation = version
+		:: version > 1 -> read_generation = version - 1
 		fi };
 		atomic {
 			if
 #ifndef NO_GENERATION_CHECK
-			:: got <= force[b] -> skip
+			:: read_generation <= in_force[b] -> skip
 #endif
 #ifndef NO_GATE
-			/* At the gate: not older than what the other box has named. */
-			:: fresh[b] && got < heard[b] -> skip
-			:: fresh[b] && heard[b] == 0 && force[1 - b] > 0 -> skip /* not heard yet */
+			/* At the gate: refuse a generation older than the one the other box announced. */
+			:: starting[b] && read_generation < announced[b] -> skip
+			:: starting[b] && announced[b] == 0 && in_force[1 - b] > 0 -> skip /* nothing received yet */
 #endif
 			:: else ->
-				assert(got >= force[b] && got >= before[b]); /* never_older */
-				force[b] = got; fresh[b] = false
+				assert(read_generation >= in_force[b] && read_generation >= before_restart[b]); /* never_older */
+				in_force[b] = read_generation; starting[b] = false
 			fi
 		}
-	:: atomic { force[1 - b] > heard[b] -> heard[b] = force[1 - b] }
-	:: atomic { !fresh[b] && heard[b] > force[b] -> force[b] = heard[b] } /* pulled */
-	:: atomic { fresh[b] && heard[b] > 0 && heard[b] >= before[b] -> force[b] = heard[b]; fresh[b] = false }
-	:: atomic { !restarted && force[b] > 0 && force[1 - b] >= force[b] ->
-		/* The other box has the table, as it does within seconds. */
-		restarted = true; before[b] = force[b]; force[b] = 0; heard[b] = 0; fresh[b] = true }
+	:: atomic { in_force[1 - b] > announced[b] -> announced[b] = in_force[1 - b] }
+	:: atomic { !starting[b] && announced[b] > in_force[b] -> in_force[b] = announced[b] } /* fetched from the other box */
+	:: atomic { starting[b] && announced[b] > 0 && announced[b] >= before_restart[b] -> in_force[b] = announced[b]; starting[b] = false }
+	:: atomic { !restarted && in_force[b] > 0 && in_force[1 - b] >= in_force[b] ->
+		/* Only once the other box has the table too, which takes it seconds. */
+		restarted = true; before_restart[b] = in_force[b]; in_force[b] = 0; announced[b] = 0; starting[b] = true }
 	od
 }
 
--- a/model/quota.pml
+++ b/model/quota.pml
@@ -1,51 +1,53 @@
 /* Copyright 2026 The Runridge Authors. All rights reserved.
  * SPDX-License-Identifier: MIT
  *
- * The quota of one account over two halves of a fleet, with the first box in its
- * rank in one half and the second in the other. Time is counted in ticks. The
- * halves are cut apart or the first box dies and comes back, and the views of the
- * boxes follow at any of the next LAG ticks. A home fills its bucket each tick and
- * gives out all that it has, or nothing.
+ * The quota of one client account across two halves of a fleet; the box that ranks
+ * first for it is in one half, the second in the other. Time is counted in ticks. The
+ * halves are partitioned from each other, or the first box dies and returns; the views
+ * of the boxes catch up at any of the next LAG ticks. A home fills its bucket each tick
+ * and admits either all that the bucket holds or nothing.
  *
- *   within  in no window of WINDOW ticks is more given out than RATE a tick, BURST
- *           and SLACK, which stands for the rules' overage and slack.
+ *   within  in no window of WINDOW ticks is more admitted than RATE per tick, plus
+ *           BURST and SLACK, which stands for the overage and slack of the rules.
  *
  * Code: state/quota, coordination/quota. Deliberate faults: FULL_START (a new home
- * starts with a full bucket), NO_PART (a half gives out the whole), NO_FINDING_OUT
- * (the second decides though it reaches the first), WHOLE_STAND_IN (the second
- * stands in for a silent first with the whole quota).
+ * starts with a full bucket), NO_PART (each half admits the whole quota),
+ * NO_FINDING_OUT (the second decides although it reaches the first), WHOLE_STAND_IN
+ * (the second stands in for a silent first with the whole quota).
  */
 
 #define RATE 2
 #define BURST 4
 #define WINDOW 4
 #define LAG 2
-/* Half of the rate for one tick, in which the second may stand in beside the first. */
+/* Half of the rate for the one tick in which the second may stand in while the
+ * first also admits. */
 #define SLACK 1
 #ifndef HORIZON
 #define HORIZON 12
 #endif
-#define TROUBLES 2
+#define MAX_DISRUPTIONS 2
 
 byte now = 0;
-byte troubles = 0;
+byte disruptions = 0;
 
-/* What is so, since when, and what the boxes believe. */
-bool cut = false;
+/* The actual state, the tick of its last change, and the view of the boxes. */
+bool partitioned = false;
 bool dead = false;
-byte changed = 0;
-bool seen_cut = false;
+byte changed_at = 0;
+bool seen_partitioned = false;
 bool seen_dead = false;
 
-/* The buckets of the first and the second in rank. */
-byte first = 0;
-byte second = 0;
-/* What the second is: no home, standing in, home of its half, home. */
-mtype = { none, standing, half, whole };
+/* The buckets of the boxes that rank first and second. */
+byte first_bucket = 0;
+byte second_bucket = 0;
+/* The role of the second box: not a home, standing in for the first, home of its
+ * half, home of the whole fleet. */
+mtype = { none, standing_in, home_of_half, home_of_whole };
 mtype role = none;
 
-byte given[WINDOW];
-byte total = 0;
+byte admitted[WINDOW];
+byte admitted_in_window = 0;
 
 inline fill(bucket, rate, burst) {
 	bucket = bucket + rate;
@@ -61,9 +63,9 @@
 		if
 		:: role == none ->
 #ifdef FULL_START
-			second = BURST
+			second_bucket = BURST
 #else
-			second = 0
+			second_bucket = 0
 #endif
 		:: else
 		fi;
@@ -72,9 +74,9 @@
 	fi
 }
 
-inline give(bucket) {
+inline admit(bucket) {
 	if
-	:: total = total + bucket; given[now % WINDOW] = given[now % WINDOW] + bucket; bucket = 0
+	:: admitted_in_window = admitted_in_window + bucket; admitted[now % WINDOW] = admitted[now % WINDOW] + bucket; bucket = 0
 	:: true
 	fi
 }
@@ -83,59 +85,59 @@
 	do
 	:: now < HORIZON ->
 		atomic {
-			/* A trouble begins or ends. */
+			/* A disruption begins or ends. */
 			if
-			:: !cut && !dead && troubles < TROUBLES -> cut = true; troubles++; changed = now
-			:: !cut && !dead && troubles < TROUBLES -> dead = true; troubles++; changed = now; first = 0
-			:: cut && now - changed >= WINDOW -> cut = false; changed = now
-			:: dead && now - changed >= 1 -> dead = false; changed = now; first = 0
+			:: !partitioned && !dead && disruptions < MAX_DISRUPTIONS -> partitioned = true; disruptions++; changed_at = now
+			:: !partitioned && !dead && disruptions < MAX_DISRUPTIONS -> dead = true; disruptions++; changed_at = now; first_bucket = 0
+			:: partitioned && now - changed_at >= WINDOW -> partitioned = false; changed_at = now
+			:: dead && now - changed_at >= 1 -> dead = false; changed_at = now; first_bucket = 0
 			:: true
 			fi;
-			/* The views follow, at the latest after LAG ticks. */
+			/* The views catch up, at the latest after LAG ticks. */
 			if
-			:: seen_cut = cut; seen_dead = dead
-			:: now - changed < LAG
+			:: seen_partitioned = partitioned; seen_dead = dead
+			:: now - changed_at < LAG
 			fi;
-			total = total - given[now % WINDOW];
-			given[now % WINDOW] = 0;
-			/* The first in rank. */
+			admitted_in_window = admitted_in_window - admitted[now % WINDOW];
+			admitted[now % WINDOW] = 0;
+			/* The box that ranks first. */
 			if
 			:: dead
 #ifdef NO_PART
-			:: !dead -> fill(first, RATE, BURST); give(first)
+			:: !dead -> fill(first_bucket, RATE, BURST); admit(first_bucket)
 #else
-			:: !dead && seen_cut -> fill(first, RATE / 2, BURST / 2); give(first)
-			:: !dead && !seen_cut -> fill(first, RATE, BURST); give(first)
+			:: !dead && seen_partitioned -> fill(first_bucket, RATE / 2, BURST / 2); admit(first_bucket)
+			:: !dead && !seen_partitioned -> fill(first_bucket, RATE, BURST); admit(first_bucket)
 #endif
 			fi;
-			/* The second. */
+			/* The box that ranks second. */
 			if
-			:: seen_dead && dead -> become(whole); fill(second, RATE, BURST); give(second)
-			:: seen_cut && cut ->
-				become(half);
+			:: seen_dead && dead -> become(home_of_whole); fill(second_bucket, RATE, BURST); admit(second_bucket)
+			:: seen_partitioned && partitioned ->
+				become(home_of_half);
 #ifdef NO_PART
-				fill(second, RATE, BURST);
+				fill(second_bucket, RATE, BURST);
 #else
-				fill(second, RATE / 2, BURST / 2);
+				fill(second_bucket, RATE / 2, BURST / 2);
 #endif
-				give(second)
+				admit(second_bucket)
 #ifdef NO_FINDING_OUT
-			:: !(seen_dead && dead) && !(seen_cut && cut) ->
+			:: !(seen_dead && dead) && !(seen_partitioned && partitioned) ->
 #else
-			:: !(seen_dead && dead) && !(seen_cut && cut) && (cut || dead) ->
+			:: !(seen_dead && dead) && !(seen_partitioned && partitioned) && (partitioned || dead) ->
 #endif
-				become(standing);
+				become(standing_in);
 #ifdef WHOLE_STAND_IN
-				fill(second, RATE, BURST);
+				fill(second_bucket, RATE, BURST);
 #else
-				fill(second, RATE / 2, BURST / 2);
+				fill(second_bucket, RATE / 2, BURST / 2);
 #endif
-				give(second)
+				admit(second_bucket)
 #ifndef NO_FINDING_OUT
-			:: !cut && !dead -> role = none; second = 0
+			:: !partitioned && !dead -> role = none; second_bucket = 0
 #endif
 			fi;
-			assert(total <= RATE * WINDOW + BURST + SLACK);
+			assert(admitted_in_window <= RATE * WINDOW + BURST + SLACK); /* within */
 			now++
 		}
 	:: else -> break
--- a/model/repeat.pml
+++ b/model/repeat.pml
@@ -1,16 +1,16 @@
 /* Copyright 2026 The Runridge Authors. All rights reserved.
  * SPDX-License-Identifier: MIT
  *
- * A request that must not be repeated comes twice, through two boxes that ask
- * the boxes which rank first for its key. Three boxes rank 0, 1, 2; each sees
- * the end of another only after a while; a box may fall silent and go on, and
- * up to DEATHS of them die, the second only when all know of the first.
+ * A request that must not be repeated arrives twice, through two boxes that ask
+ * the boxes that rank first for its key. Three boxes rank 0, 1, 2; each learns of
+ * the death of another only after a delay; a box may be silent and resume, and up
+ * to DEATHS of them die, the second only when all the others know of the first.
  *
- *   at_most_once  the request is told to run at most once.
+ *   at_most_once  at most one of the two is allowed to run.
  *
- * Code: state/dedup, coordination/dedup. Left out: the window's end (records
- * do not expire here), the answer's way to the second caller, boxes that join.
- * Every box has been there for a whole window before the model begins.
+ * Code: state/dedup, coordination/dedup. Not modeled: the end of the window (records
+ * do not expire here), the answer's path to the second caller, boxes that join.
+ * Every box has been up for a whole window before the model starts.
  *
  * Deliberate faults: ONE_COPY, NO_RANK_CHECK, FORGET_CONFIRMED, COPY_NOT_SURE,
  * NO_COVER_CHECK.
@@ -24,16 +24,16 @@
 
 bool dead[BOXES];
 byte deaths = 0;
-/* knows[b] has bit x when box b knows that box x is dead. */
-byte knows[BOXES];
-/* The request that a box's record of the key names; 0 is none. */
+/* known_dead[b] has bit x set when box b knows that box x is dead. */
+byte known_dead[BOXES];
+/* The request named by each box's record of the key; 0 means no record. */
 byte record[BOXES];
-bool sure[BOXES];
-byte told_to_run = 0; /* bit r: request r was told to run */
+bool confirmed[BOXES];
+byte allowed_to_run = 0; /* bit r: request r was allowed to run */
 
-#define sees_dead(b, x) ((knows[b] & (1 << x)) != 0)
+#define sees_dead(b, x) ((known_dead[b] & (1 << x)) != 0)
 
-/* The first and second in rank, as box b sees it. */
+/* Sets r1 and r2 to the boxes that rank first and second in the view of box b. */
 inline rank(b, r1, r2) {
 	r1 = NOBODY; r2 = NOBODY;
 	if
@@ -55,10 +55,10 @@
 	fi
 }
 
-/* A request asks a box, which may be any: views differ. */
+/* A request may ask any box, because the views of the ranks differ. */
 proctype request(byte r) {
-	byte asked, first, second, seconds_first, seconds_second;
-	bool mine;
+	byte asked, first, second, second_view_first, second_view_second;
+	bool ranked;
 again:	if
 	:: asked = 0
 	:: asked = 1
@@ -71,18 +71,18 @@
 		:: else -> skip
 		fi;
 		rank(asked, first, second);
-		mine = (first == asked || second == asked);
+		ranked = (first == asked || second == asked);
 		if
 #ifndef NO_RANK_CHECK
-		:: !mine -> goto again
+		:: !ranked -> goto again
 #endif
 		:: else -> skip
 		fi;
 		if
-		:: record[asked] != 0 && record[asked] != r -> goto done /* joins the other */
+		:: record[asked] != 0 && record[asked] != r -> goto done /* waits for the answer of the other request */
 		:: else -> record[asked] = r
 		fi;
-		/* The other of the two, as the asked box sees it. */
+		/* The other of the two top boxes, in the view of the asked box. */
 		if
 		:: second == asked -> second = first
 		:: else -> skip
@@ -94,31 +94,31 @@
 	if
 	:: second == NOBODY -> skip
 	:: else ->
-		/* The copy may take any time; meanwhile anything may happen. */
+		/* The copy may take any time, and any other step may happen meanwhile. */
 		atomic {
 			if
 			:: dead[second] -> goto timed_out
 			:: else -> skip
 			fi;
-			rank(second, seconds_first, seconds_second);
+			rank(second, second_view_first, second_view_second);
 			if
 #ifndef NO_RANK_CHECK
-			:: seconds_first != second && seconds_second != second -> goto timed_out
+			:: second_view_first != second && second_view_second != second -> goto timed_out
 #endif
 			:: else -> skip
 			fi;
 			if
 			:: record[second] != 0 && record[second] != r ->
 				if
-				:: !dead[asked] && record[asked] == r && !sure[asked] -> record[asked] = 0
+				:: !dead[asked] && record[asked] == r && !confirmed[asked] -> record[asked] = 0
 				:: else -> skip
 				fi;
-				goto done /* joins the other */
+				goto done /* waits for the answer of the other request */
 #ifdef COPY_NOT_SURE
 			:: else -> record[second] = r
 #else
-			/* From here on the first box may have told it to run. */
-			:: else -> record[second] = r; sure[second] = true
+			/* From here on the first box may have allowed it to run. */
+			:: else -> record[second] = r; confirmed[second] = true
 #endif
 			fi
 		};
@@ -132,20 +132,20 @@
 		:: dead[asked] -> goto done
 		:: else -> skip
 		fi;
-		/* Boxes 0 and 1 ranked first all along. Where neither is asked, a
-		 * record may have died with them: the answer is "unknown". */
+		/* Boxes 0 and 1 have ranked first from the start. If neither is asked, a
+		 * record may have been lost with them: the answer is "unknown". */
 		if
 #ifndef NO_COVER_CHECK
 		:: asked == 2 && second == NOBODY -> goto done
 #endif
 		:: else -> skip
 		fi;
-		sure[asked] = true;
-		told_to_run = told_to_run | (1 << r);
-		assert(told_to_run == (1 << r)) /* at_most_once */
+		confirmed[asked] = true;
+		allowed_to_run = allowed_to_run | (1 << r);
+		assert(allowed_to_run == (1 << r)) /* at_most_once */
 	};
 	if
-	:: goto again /* the reply was lost: the same claim again */
+	:: goto again /* the reply was lost: the same request claims again */
 	:: goto done
 	fi;
 timed_out:
@@ -154,7 +154,7 @@
 #ifdef FORGET_CONFIRMED
 		:: !dead[asked] && record[asked] == r -> record[asked] = 0
 #else
-		:: !dead[asked] && record[asked] == r && !sure[asked] -> record[asked] = 0
+		:: !dead[asked] && record[asked] == r && !confirmed[asked] -> record[asked] = 0
 #endif
 		:: else -> skip
 		fi
@@ -163,29 +163,29 @@
 done:	skip
 }
 
-proctype deaths_and_news() {
+proctype deaths_and_notifications() {
 	byte x;
 end:	do
 	:: atomic { deaths < DEATHS &&
-		/* The second only when the living know of the first. */
+		/* The second box dies only when the live boxes know of the first death. */
 		(deaths == 0 || (dead[0] -> (dead[1] || sees_dead(1, 0)) && (dead[2] || sees_dead(2, 0)) : true)
 		&& (dead[1] -> (dead[0] || sees_dead(0, 1)) && (dead[2] || sees_dead(2, 1)) : true)
 		&& (dead[2] -> (dead[0] || sees_dead(0, 2)) && (dead[1] || sees_dead(1, 2)) : true)) ->
 		if
-		:: !dead[0] -> dead[0] = true; record[0] = 0; sure[0] = false
-		:: !dead[1] -> dead[1] = true; record[1] = 0; sure[1] = false
-		:: !dead[2] -> dead[2] = true; record[2] = 0; sure[2] = false
+		:: !dead[0] -> dead[0] = true; record[0] = 0; confirmed[0] = false
+		:: !dead[1] -> dead[1] = true; record[1] = 0; confirmed[1] = false
+		:: !dead[2] -> dead[2] = true; record[2] = 0; confirmed[2] = false
 		fi;
 		deaths++ }
-	:: atomic { dead[0] && !sees_dead(1, 0) -> knows[1] = knows[1] | 1 }
-	:: atomic { dead[0] && !sees_dead(2, 0) -> knows[2] = knows[2] | 1 }
-	:: atomic { dead[1] && !sees_dead(0, 1) -> knows[0] = knows[0] | 2 }
-	:: atomic { dead[1] && !sees_dead(2, 1) -> knows[2] = knows[2] | 2 }
-	:: atomic { dead[2] && !sees_dead(0, 2) -> knows[0] = knows[0] | 4 }
-	:: atomic { dead[2] && !sees_dead(1, 2) -> knows[1] = knows[1] | 4 }
+	:: atomic { dead[0] && !sees_dead(1, 0) -> known_dead[1] = known_dead[1] | 1 }
+	:: atomic { dead[0] && !sees_dead(2, 0) -> known_dead[2] = known_dead[2] | 1 }
+	:: atomic { dead[1] && !sees_dead(0, 1) -> known_dead[0] = known_dead[0] | 2 }
+	:: atomic { dead[1] && !sees_dead(2, 1) -> known_dead[2] = known_dead[2] | 2 }
+	:: atomic { dead[2] && !sees_dead(0, 2) -> known_dead[0] = known_dead[0] | 4 }
+	:: atomic { dead[2] && !sees_dead(1, 2) -> known_dead[1] = known_dead[1] | 4 }
 	od
 }
 
 init {
-	atomic { run request(1); run request(2); run deaths_and_news() }
+	atomic { run request(1); run request(2); run deaths_and_notifications() }
 }
--- a/protocol/boxwire/testdata/record.sh
+++ b/protocol/boxwire/testdata/record.sh
@@ -2,8 +2,9 @@
 # Copyright 2026 The Runridge Authors. All rights reserved.
 # SPDX-License-Identifier: MIT
 #
-# record.sh COMMIT...: records the frames that the builds of these commits write, and has them
-# read those that this build writes to builds whose greetings tell no version.
+# record.sh COMMIT...: records the frames that the builds of these commits write. Each of these
+# builds also reads the frames that this build sends to builds whose greeting has no version, and
+# frames with further fields.
 set -euo pipefail
 here="$(cd "$(dirname "$0")" && pwd)"
 top="$(git -C "$here" rev-parse --show-toplevel)"
