--- a/tests/routed/account_test.go
+++ b/tests/routed/account_test.go
@@ -19,15 +19,15 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Keys of the accounts in these tests.
+// API keys of the client accounts in these tests.
 const (
 	keyDesk   = "desk-key-5d1f9c2e"
 	keyDesk2  = "desk-key-77aa01bb"
 	keyBakery = "bakery-key-0b6e4f"
 )
 
-// tenant is a client account as the operator writes it.
-func tenant(name string, more map[string]any, keys ...string) map[string]any {
+// accountEntry returns a client account as the operator writes it in the configuration.
+func accountEntry(name string, more map[string]any, keys ...string) map[string]any {
 	out := map[string]any{"name": name, "api_keys": keys, "unit": "token_count", "plain_tokens": 200}
 	for k, v := range more {
 		out[k] = v
@@ -35,8 +35,8 @@
 	return out
 }
 
-// withTenants is the configuration with accounts and a public route.
-func withTenants(version int, tenants ...map[string]any) map[string]any {
+// configurationWithAccounts returns the configuration with client accounts and a public route.
+func configurationWithAccounts(version int, tenants ...map[string]any) map[string]any {
 	c := configuration(version)
 	c["tenants"] = tenants
 	public := map[string]any{
@@ -47,18 +47,18 @@
 	return c
 }
 
-// bothTenants are the accounts that most tests use.
-func bothTenants() []map[string]any {
-	return []map[string]any{tenant("desk", nil, keyDesk, keyDesk2), tenant("bakery", nil, keyBakery)}
+// twoAccounts returns the client accounts that most tests use.
+func twoAccounts() []map[string]any {
+	return []map[string]any{accountEntry("desk", nil, keyDesk, keyDesk2), accountEntry("bakery", nil, keyBakery)}
 }
 
-// configure writes a configuration and waits until all boxes have it.
+// configure writes a configuration to the store and waits until it is in force on all boxes.
 func (s *site) configure(c map[string]any) {
 	s.t.Helper()
 	revision := s.store.Put("config", "main", c)
 	for _, b := range s.boxes {
 		s.eventually("the box has the configuration", func() bool { return b.Table().Generation >= revision })
-		// Before that a box cannot tell an unknown key from one that it may yet hear of.
+		// Until then a box answers 503 instead of 401 to an unknown key, since a newer table may have it.
 		s.eventually("the box knows that it is the newest", func() bool { return b.Status().TableAgeMS >= 0 })
 	}
 }
@@ -70,7 +70,7 @@
 		path   string
 		head   string
 		status int
-		// account is what the endpoint is told.
+		// account is the account name that the endpoint receives.
 		account string
 	}{
 		"a key":                          {"/safe/x", "Authorization: Bearer " + keyDesk, 200, "desk"},
@@ -94,11 +94,11 @@
 		"a public route, unknown key":    {"/open/x", "Authorization: Bearer nobody", 200, ""},
 	}
 	convey.Convey("A request runs for the account that holds its key, and for no other", t, func() {
-		s := newSite(t, 1, plainEnds()...)
-		s.configure(withTenants(2, bothTenants()...))
+		s := newSite(t, 1, plainEndpoints()...)
+		s.configure(configurationWithAccounts(2, twoAccounts()...))
 		for name, c := range cases {
 			id := fmt.Sprintf("key-%d", ids.Add(1))
-			a := s.raw(s.boxes[0], fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\n%s\r\n\r\n", c.path, host, id, c.head))
+			a := s.sendRaw(s.boxes[0], fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\n%s\r\n\r\n", c.path, host, id, c.head))
 			_, err := convey.Printf("\n%s", name)
 			convey.So(err, convey.ShouldBeNil)
 			convey.So(a.status, convey.ShouldEqual, c.status)
@@ -107,19 +107,19 @@
 				convey.So(s.runs(id), convey.ShouldEqual, 0)
 				continue
 			}
-			head := s.runOf(id).Header
+			head := s.runByID(id).Header
 			convey.So(head.Get("X-Tenant"), convey.ShouldEqual, c.account)
 			convey.So(head.Values("X-Tenant"), convey.ShouldHaveLength, min(len(c.account), 1))
 		}
 	})
 }
 
-// TestKeysStayInside plays requests on every path and looks for keys in all that
-// endpoints got and boxes wrote.
+// TestKeysStayInside sends requests on every path and searches for keys in what endpoints
+// received and in what boxes logged and show to operators.
 func TestKeysStayInside(t *testing.T) {
 	convey.Convey("No key reaches an endpoint, a log, a table, a metric or an operator", t, func() {
-		s := newSite(t, 2, append(plainEnds(), modelEnds()...)...)
-		s.configure(withTenants(2, bothTenants()...))
+		s := newSite(t, 2, append(plainEndpoints(), modelEndpoints()...)...)
+		s.configure(configurationWithAccounts(2, twoAccounts()...))
 		for _, b := range s.boxes {
 			for _, path := range []string{"/safe/x", "/unsafe/x", "/open/x", "/stream/x", "/resumable/x"} {
 				a := s.send(b, http.MethodPost, path, "prompt", bearer(keyDesk))
@@ -128,15 +128,15 @@
 			s.send(b, http.MethodGet, "/safe/x", "", bearer("a-secret-nobody-has"))
 			s.send(b, http.MethodGet, "/safe/x", "", map[string]string{"Authorization": "Basic " + keyDesk})
 		}
-		// A repeat after a lost answer, and a resume after a cut stream.
-		s.ends["p1"].Behave(standin.Lost)
-		s.ends["dec1"].Behave(standin.Cut)
+		// Covers the retry after a lost answer and the resumption of a cut stream.
+		s.endpoints["p1"].Behave(standin.Lost)
+		s.endpoints["dec1"].Behave(standin.Cut)
 		for range 4 {
 			s.send(s.boxes[0], http.MethodGet, "/safe/x", "", bearer(keyDesk))
 			s.send(s.boxes[0], http.MethodPost, "/resumable/x", "prompt", bearer(keyDesk2))
 		}
-		s.configure(withTenants(3, tenant("desk", nil, keyDesk2)))
-		for _, e := range s.ends {
+		s.configure(configurationWithAccounts(3, accountEntry("desk", nil, keyDesk2)))
+		for _, e := range s.endpoints {
 			for _, head := range e.Heads() {
 				convey.So(head, convey.ShouldNotContainKey, "Authorization")
 				convey.So(fmt.Sprint(head), convey.ShouldNotContainSubstring, "key-")
@@ -154,7 +154,7 @@
 	})
 }
 
-// fetch reads a page.
+// fetch returns the body of a page.
 func (s *site) fetch(url string) string {
 	s.t.Helper()
 	resp, err := http.Get(url)
@@ -171,13 +171,13 @@
 
 func TestKeyTakenAway(t *testing.T) {
 	convey.Convey("A key that was taken away or passed on counts as it stands, on kept connections too", t, func() {
-		s := newSite(t, 2, plainEnds()...)
-		s.configure(withTenants(2, bothTenants()...))
+		s := newSite(t, 2, plainEndpoints()...)
+		s.configure(configurationWithAccounts(2, twoAccounts()...))
 		b := s.boxes[1]
 		client := &http.Client{Timeout: patience}
 		get := func(key string) (int, string) {
 			id := fmt.Sprintf("request-%d", ids.Add(1))
-			req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+b.caller+"/safe/x", nil)
+			req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+b.callerAddr+"/safe/x", nil)
 			convey.So(err, convey.ShouldBeNil)
 			req.Host = host
 			req.Header.Set("X-Request-Id", id)
@@ -190,30 +190,30 @@
 			if resp.StatusCode != http.StatusOK {
 				return resp.StatusCode, ""
 			}
-			return resp.StatusCode, s.runOf(id).Header.Get("X-Tenant")
+			return resp.StatusCode, s.runByID(id).Header.Get("X-Tenant")
 		}
 		status, account := get(keyDesk)
 		convey.So(status, convey.ShouldEqual, http.StatusOK)
 		convey.So(account, convey.ShouldEqual, "desk")
-		s.configure(withTenants(3, tenant("desk", nil, keyDesk2), tenant("bakery", nil, keyBakery, keyDesk)))
+		s.configure(configurationWithAccounts(3, accountEntry("desk", nil, keyDesk2), accountEntry("bakery", nil, keyBakery, keyDesk)))
 		status, account = get(keyDesk)
 		convey.So(status, convey.ShouldEqual, http.StatusOK)
 		convey.So(account, convey.ShouldEqual, "bakery")
-		s.configure(withTenants(4, tenant("desk", nil, keyDesk2), tenant("bakery", nil, keyBakery)))
+		s.configure(configurationWithAccounts(4, accountEntry("desk", nil, keyDesk2), accountEntry("bakery", nil, keyBakery)))
 		status, _ = get(keyDesk)
 		convey.So(status, convey.ShouldEqual, http.StatusUnauthorized)
 	})
 	convey.Convey("A request whose key is taken away before its repeat is not sent again", t, func() {
-		s := newSite(t, 1, plainEnds()[:2]...)
-		s.configure(withTenants(2, bothTenants()...))
-		for _, e := range s.ends {
+		s := newSite(t, 1, plainEndpoints()[:2]...)
+		s.configure(configurationWithAccounts(2, twoAccounts()...))
+		for _, e := range s.endpoints {
 			e.Behave(standin.Hanging)
 		}
 		done := make(chan answer, 1)
 		go func() { done <- s.send(s.boxes[0], http.MethodGet, "/long/x", "", bearer(keyBakery)) }()
 		s.eventually("the request runs", func() bool { return s.allRuns() == 1 })
-		s.configure(withTenants(3, tenant("desk", nil, keyDesk)))
-		for _, e := range s.ends {
+		s.configure(configurationWithAccounts(3, accountEntry("desk", nil, keyDesk)))
+		for _, e := range s.endpoints {
 			if len(e.Runs()) > 0 {
 				e.Close()
 				continue
@@ -230,8 +230,8 @@
 
 func TestUnknownKeyOfABoxThatIsBehind(t *testing.T) {
 	convey.Convey("A box that knows of a newer table than its own says that the key may be known later", t, func() {
-		s := newSite(t, 1, plainEnds()...)
-		s.configure(withTenants(2, bothTenants()...))
+		s := newSite(t, 1, plainEndpoints()...)
+		s.configure(configurationWithAccounts(2, twoAccounts()...))
 		b := s.boxes[0]
 		a := s.send(b, http.MethodGet, "/safe/x", "", bearer("added-just-now"))
 		convey.So(a.status, convey.ShouldEqual, http.StatusUnauthorized)
@@ -245,14 +245,14 @@
 	})
 }
 
-// TestQuotaOverBoxes sends an account's requests through all boxes in turn.
+// TestQuotaOverBoxes spreads the requests of one account over all boxes.
 func TestQuotaOverBoxes(t *testing.T) {
 	convey.Convey("What all boxes send for an account stays within its quota, and is near it", t, func() {
 		const rate, burst = 4000, 4000
-		// Together they ask for ten times what the account may use in a second.
+		// Together the callers request ten times what the account may use per second.
 		const callers, asksEach = 20, 10
-		s := newSite(t, 3, plainEnds()...)
-		s.configure(withTenants(2, tenant("desk", map[string]any{"rate_per_s": rate, "burst": burst}, keyDesk), tenant("bakery", nil, keyBakery)))
+		s := newSite(t, 3, plainEndpoints()...)
+		s.configure(configurationWithAccounts(2, accountEntry("desk", map[string]any{"rate_per_s": rate, "burst": burst}, keyDesk), accountEntry("bakery", nil, keyBakery)))
 		begin := time.Now()
 		var senders errgroup.Group
 		answers := make(chan answer, callers*asksEach)
--- a/tests/routed/builds_test.go
+++ b/tests/routed/builds_test.go
@@ -21,21 +21,21 @@
 	"runridge.example/runridge/protocol/boxwire"
 )
 
-// futureKind is a kind of message that no build knows yet.
-const futureKind = 250
+// unknownKind is a message kind that this build does not know.
+const unknownKind = 250
 
-// laterWay is the way to a box on which each message gets one field more, and comes behind one
-// of a kind that is not known: what a box of a later build would send. A nil one is the box's
-// own address.
-type laterWay struct {
+// laterBuildProxy is a proxy in front of a box that makes its peers look like boxes of a later build: it
+// appends a field to each message and sends a message of an unknown kind before each one but the
+// first of a connection. A nil laterBuildProxy leaves the box at its own address.
+type laterBuildProxy struct {
 	t        *testing.T
 	listener net.Listener
 	mutex    sync.Mutex
 	conns    []net.Conn
 }
 
-func (s *site) newLaterWay() *laterWay {
-	if !s.later {
+func (s *site) newLaterBuildProxy() *laterBuildProxy {
+	if !s.laterBuild {
 		return nil
 	}
 	s.t.Helper()
@@ -43,18 +43,18 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return &laterWay{t: s.t, listener: l}
+	return &laterBuildProxy{t: s.t, listener: l}
 }
 
-func (w *laterWay) address() string {
+func (w *laterBuildProxy) address() string {
 	if w == nil {
 		return ""
 	}
 	return w.listener.Addr().String()
 }
 
-// serve carries connections to a box until the test ends.
-func (w *laterWay) serve(to string) {
+// serve forwards connections to a box until the test ends.
+func (w *laterBuildProxy) serve(to string) {
 	if w == nil {
 		return
 	}
@@ -82,9 +82,9 @@
 			w.mutex.Lock()
 			w.conns = append(w.conns, in, out)
 			w.mutex.Unlock()
-			carried.Go(func() { carry(in, out) })
+			carried.Go(func() { forwardFrames(in, out) })
 			carried.Go(func() {
-				// The box says nothing; its end is passed back.
+				// The box sends nothing on this connection; only its close is forwarded.
 				_, _ = io.Copy(io.Discard, out)
 				_ = in.Close()
 			})
@@ -92,8 +92,8 @@
 	})
 }
 
-// carry passes frames on as a later build writes them.
-func carry(in, out net.Conn) {
+// forwardFrames forwards frames as a later build would send them.
+func forwardFrames(in, out net.Conn) {
 	defer func() { _ = out.Close() }()
 	r := bufio.NewReader(in)
 	greeted := false
@@ -112,10 +112,10 @@
 		}
 		var frame []byte
 		if greeted {
-			frame = []byte{futureKind, 1, msgpcode.Nil}
+			frame = []byte{unknownKind, 1, msgpcode.Nil}
 		}
 		greeted = true
-		body = withField(body)
+		body = appendField(body)
 		frame = append(binary.AppendUvarint(append(frame, kind), uint64(len(body))), body...)
 		if _, err := out.Write(frame); err != nil {
 			return
@@ -123,8 +123,8 @@
 	}
 }
 
-// withField adds a field to a message whose fields are by position.
-func withField(body []byte) []byte {
+// appendField appends a nil field to a message with positional fields and returns any other unchanged.
+func appendField(body []byte) []byte {
 	if len(body) == 0 || !msgpcode.IsFixedArray(body[0]) && body[0] != msgpcode.Array16 {
 		return body
 	}
@@ -144,8 +144,8 @@
 
 func TestLaterBuild(t *testing.T) {
 	convey.Convey("Boxes serve together with boxes whose messages have fields and kinds of the future", t, func() {
-		s := newSite(t, 0, append(plainEnds(), modelEnds()...)...)
-		s.later = true
+		s := newSite(t, 0, append(plainEndpoints(), modelEndpoints()...)...)
+		s.laterBuild = true
 		for _, name := range []string{"box-1", "box-2", "box-3"} {
 			s.start(name)
 		}
@@ -154,7 +154,7 @@
 		}
 		for _, b := range s.boxes {
 			for range 10 {
-				convey.So(s.send(b, http.MethodGet, "/stream/a", "", nil).whole, convey.ShouldBeTrue)
+				convey.So(s.send(b, http.MethodGet, "/stream/a", "", nil).complete, convey.ShouldBeTrue)
 				convey.So(s.send(b, http.MethodPost, "/unsafe/a", "body", nil).status, convey.ShouldEqual, http.StatusOK)
 			}
 		}
--- a/tests/routed/cold_test.go
+++ b/tests/routed/cold_test.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// coldPace is what a cold endpoint of the tests bears, in requests a second, and
-	// coldBound the most that it may get in any.
-	coldPace  = 4
-	coldBound = coldPace*coldOverage + coldSlack
-	// coldOverage and coldSlack are the boxes' settings.
+	// coldRate is how many requests per second a cold endpoint of these tests takes, and
+	// coldBound the most that it may receive in any second.
+	coldRate  = 4
+	coldBound = coldRate*coldOverage + coldSlack
+	// coldOverage and coldSlack are the boxes' settings for cold endpoints.
 	coldOverage = 1.5
 	coldSlack   = 5
-	// coldFor is longer than these tests take.
-	coldFor = time.Minute
-	// flooded is how many requests are answered at least, served or refused: far more
-	// than three endpoints bear in the seconds that it takes.
-	flooded = 200
+	// coldPeriod is how long endpoints stay cold: longer than these tests take.
+	coldPeriod = time.Minute
+	// floodAnswers is the number of answers, served or refused, after which a flood ends: far more
+	// than three cold endpoints take in that time.
+	floodAnswers = 200
 )
 
-// newColdSite starts a site whose endpoints bear few requests while they are cold.
+// newColdSite starts a site whose services limit the rate of requests to cold endpoints.
 func newColdSite(t *testing.T, boxes int, endpoints ...standin.EndpointConfig) *site {
 	t.Helper()
 	s := &site{
-		t: t, slack: amply, logs: &journal{}, store: standin.NewStore(), ends: make(map[string]*standin.Endpoint),
-		cold: pace.Bound{Overage: coldOverage, Slack: coldSlack},
+		t: t, retrySlack: ampleRetrySlack, logs: &logBuffer{}, store: standin.NewStore(), endpoints: make(map[string]*standin.Endpoint),
+		coldLimit: pace.Bound{Overage: coldOverage, Slack: coldSlack},
 	}
 	t.Cleanup(s.close)
 	table := configuration(1)
 	for _, service := range table["services"].([]any) {
 		fields := service.(map[string]any)
-		fields["cold_per_s"], fields["cold_start_s"] = coldPace, coldFor.Seconds()
+		fields["cold_per_s"], fields["cold_start_s"] = coldRate, coldPeriod.Seconds()
 	}
 	s.store.Put("config", "main", table)
 	for _, cfg := range endpoints {
@@ -58,9 +58,8 @@
 	return s
 }
 
-// flood sends requests to all boxes at once until stopped, and counts those that were
-// answered.
-func (s *site) flood(path string, boxes []*running) (answered *atomic.Int64, stop func()) {
+// flood sends requests to all boxes concurrently until stopped, and counts the answers.
+func (s *site) flood(path string, boxes []*runningBox) (answered *atomic.Int64, stop func()) {
 	answered = new(atomic.Int64)
 	var senders sync.WaitGroup
 	over := make(chan struct{})
@@ -86,39 +85,40 @@
 	}
 }
 
-// knowsCold says whether a box takes an endpoint for cold.
-func (b *running) knowsCold(id string) bool {
+// knowsCold reports whether a box considers an endpoint cold.
+func (b *runningBox) knowsCold(id string) bool {
 	w, known := b.Directory().Status(id)
-	return known && time.Now().Before(w.ColdEnd(coldFor))
+	return known && time.Now().Before(w.ColdEnd(coldPeriod))
 }
 
-// TestColdEndpoints floods endpoints that have become cold from three boxes.
+// TestColdEndpoints floods cold endpoints through two of three boxes, since the limit
+// holds for all boxes together.
 func TestColdEndpoints(t *testing.T) {
 	cases := map[string]struct {
 		path string
 		ends []standin.EndpointConfig
-		// untold says that the endpoints are new and their entries do not tell.
+		// untold is set if the endpoints are new and their entries in the store do not say that they are cold.
 		untold bool
-		// stop is a box that ends in the flood: homes of some groups among them.
+		// stop is set if a box, home of some groups, stops during the flood.
 		stop bool
 	}{
-		"that serve plain requests":                {path: "/safe/x", ends: plainEnds()},
-		"that prefill and decode":                  {path: "/stream/x", ends: modelEnds()},
-		"that have just appeared and do not tell":  {path: "/safe/x", ends: plainEnds(), untold: true},
-		"while their home ends":                    {path: "/safe/x", ends: plainEnds(), stop: true},
-		"that prefill and decode while a box ends": {path: "/stream/x", ends: modelEnds(), stop: true},
+		"that serve plain requests":                {path: "/safe/x", ends: plainEndpoints()},
+		"that prefill and decode":                  {path: "/stream/x", ends: modelEndpoints()},
+		"that have just appeared and do not tell":  {path: "/safe/x", ends: plainEndpoints(), untold: true},
+		"while their home ends":                    {path: "/safe/x", ends: plainEndpoints(), stop: true},
+		"that prefill and decode while a box ends": {path: "/stream/x", ends: modelEndpoints(), stop: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			convey.Convey("They get no more than they bear in any second, and that they get", t, func() {
+			convey.Convey("They receive no more than their limit in any second, but do receive requests", t, func() {
 				s := newColdSite(t, 3)
 				for _, cfg := range c.ends {
 					e := standin.NewEndpoint(cfg)
-					e.Cool(standin.Cold{For: coldFor, Bound: coldBound, Untold: c.untold})
+					e.Cool(standin.Cold{For: coldPeriod, Bound: coldBound, Untold: c.untold})
 					s.announce(e)
 				}
 				for _, b := range s.boxes {
-					for id := range s.ends {
+					for id := range s.endpoints {
 						s.eventually("the box knows that the endpoint is cold", func() bool { return b.knowsCold(id) })
 					}
 				}
@@ -126,13 +126,13 @@
 				s.eventually("some are served", func() bool { return s.allRuns() > 0 })
 				if c.stop {
 					s.boxes[2].stop()
-					<-s.boxes[2].ended
+					<-s.boxes[2].done
 				}
 				before := s.allRuns()
 				s.eventually("more are served", func() bool { return s.allRuns() >= before+6 })
-				s.eventually("many are answered", func() bool { return answered.Load() >= flooded })
+				s.eventually("many are answered", func() bool { return answered.Load() >= floodAnswers })
 				stop()
-				for _, e := range s.ends {
+				for _, e := range s.endpoints {
 					fullest, falls := e.Fullest()
 					convey.So(fullest, convey.ShouldBeLessThanOrEqualTo, int(coldBound))
 					convey.So(falls, convey.ShouldEqual, 0)
@@ -142,12 +142,12 @@
 	}
 }
 
-// TestWarmAgain shows that an endpoint gets its usual share once it says it is warm.
+// TestWarmAgain checks that an endpoint is no longer limited once its entry in the store says that it is warm.
 func TestWarmAgain(t *testing.T) {
-	convey.Convey("An endpoint that says it is warm is not held back any more", t, func() {
+	convey.Convey("An endpoint that announces that it is warm is no longer limited", t, func() {
 		s := newColdSite(t, 2)
-		e := standin.NewEndpoint(plainEnds()[0])
-		e.Cool(standin.Cold{For: coldFor, Bound: coldBound})
+		e := standin.NewEndpoint(plainEndpoints()[0])
+		e.Cool(standin.Cold{For: coldPeriod, Bound: coldBound})
 		s.announce(e)
 		for _, b := range s.boxes {
 			s.eventually("the box knows that it is cold", func() bool { return b.knowsCold(e.ID) })
--- a/tests/routed/limit_test.go
+++ b/tests/routed/limit_test.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// namedLimit is what an endpoint of these tests names, in requests a second.
+	// namedLimit is the limit that endpoints of these tests announce, in requests per second.
 	namedLimit = 4
-	// limitWindow is the window that the users judge by, and limitBound the most that an
-	// endpoint may get in any.
+	// limitWindow is the window over which the requirement applies, and limitBound the most
+	// requests that an endpoint may receive in any such window.
 	limitWindow = 4 * time.Second
 	limitBound  = 1.5*namedLimit*4 + 5
-	// toldTime is after how long boxes that were told are held to the limit.
-	toldTime = 500 * time.Millisecond
-	// pressed is how many boxes get requests: the others have homes alone.
-	pressed = 2
+	// limitDelay is how long after boxes know a limit they must comply with it.
+	limitDelay = 500 * time.Millisecond
+	// loadedBoxes is how many boxes receive requests; the others are only homes.
+	loadedBoxes = 2
 )
 
-// logged says whether a box has logged a message about an endpoint.
+// logged reports whether a box has logged a message about an endpoint.
 func (s *site) logged(message, box, endpoint string) bool {
 	for line := range strings.Lines(s.logs.String()) {
 		if strings.Contains(line, "msg="+message) && strings.Contains(line, "box="+box+" ") &&
@@ -41,9 +41,9 @@
 	return false
 }
 
-// heldToLimits waits until each of some boxes knows the limits of some endpoints, from these or
-// from their home, and is held to them.
-func (s *site) heldToLimits(boxes int, endpoints ...string) {
+// waitForLimits waits until the first boxes know the limits of the given endpoints, from the
+// endpoint's own answers or from its home, and for limitDelay after that.
+func (s *site) waitForLimits(boxes int, endpoints ...string) {
 	s.t.Helper()
 	for i := range boxes {
 		for _, id := range endpoints {
@@ -53,31 +53,32 @@
 			})
 		}
 	}
-	time.Sleep(toldTime)
+	time.Sleep(limitDelay)
 }
 
-// pressure is a flood of requests, and what came of it.
-type pressure struct {
+// requestLoad is a continuous load of requests and counts their results; without counts those that
+// were neither served nor refused with a Retry-After header.
+type requestLoad struct {
 	stop                     func()
 	served, refused, without atomic.Int64
 }
 
 const (
-	// senders is how many send to each box, and pause the least time between two requests of
-	// each: far more than the endpoints of these tests take.
-	senders = 4
-	pause   = 30 * time.Millisecond
+	// sendersPerBox is the number of concurrent senders per box, and sendInterval the least time between
+	// two requests of a sender: far more load than the endpoints of these tests accept.
+	sendersPerBox = 4
+	sendInterval  = 30 * time.Millisecond
 )
 
-// press sends some hundred requests a second to boxes until it is stopped.
-func (s *site) press(path string, boxes ...*running) *pressure {
-	p := &pressure{}
+// startLoad sends up to about 130 requests per second to each box until it is stopped.
+func (s *site) startLoad(path string, boxes ...*runningBox) *requestLoad {
+	p := &requestLoad{}
 	over := make(chan struct{})
 	var running sync.WaitGroup
 	for _, b := range boxes {
-		for range senders {
+		for range sendersPerBox {
 			running.Go(func() {
-				tick := time.NewTicker(pause)
+				tick := time.NewTicker(sendInterval)
 				defer tick.Stop()
 				for {
 					select {
@@ -97,7 +98,7 @@
 	return p
 }
 
-func (p *pressure) count(a answer) {
+func (p *requestLoad) count(a answer) {
 	switch {
 	case a.status == http.StatusOK:
 		p.served.Add(1)
@@ -112,32 +113,32 @@
 	cases := map[string]struct {
 		path string
 		ends []standin.EndpointConfig
-		// limited are the endpoints that name the limit.
+		// limited are the endpoints that announce the limit.
 		limited []string
-		// during, if set, is what happens in the middle; it may end the last box.
+		// during, if set, is called halfway; it may stop the last box.
 		during func(s *site)
 	}{
-		"some of the plain ones":     {path: "/safe/x", ends: plainEnds(), limited: []string{"p1", "p2"}},
-		"all of the plain ones":      {path: "/unsafe/x", ends: plainEnds(), limited: []string{"p1", "p2", "p3"}},
-		"that prefill":               {path: "/stream/x", ends: modelEnds(), limited: []string{"pre1"}},
-		"that decode":                {path: "/resumable/x", ends: modelEnds(), limited: []string{"dec1", "dec2"}},
-		"while a box ends":           {path: "/safe/x", ends: plainEnds(), limited: []string{"p1", "p2", "p3"}, during: (*site).endLast},
-		"while a box starts":         {path: "/safe/x", ends: plainEnds(), limited: []string{"p1", "p2", "p3"}, during: (*site).startOneMore},
-		"that turn requests away":    {path: "/safe/x", ends: plainEnds(), limited: []string{"p1", "p2"}, during: (*site).fillUp},
-		"whose answers are lost":     {path: "/safe/x", ends: plainEnds(), limited: []string{"p1", "p2"}, during: (*site).loseAnswers},
-		"that decode, a box ends":    {path: "/stream/x", ends: modelEnds(), limited: []string{"dec1", "dec2"}, during: (*site).endLast},
-		"that prefill, a box starts": {path: "/stream/x", ends: modelEnds(), limited: []string{"pre1"}, during: (*site).startOneMore},
+		"some of the plain ones":     {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2"}},
+		"all of the plain ones":      {path: "/unsafe/x", ends: plainEndpoints(), limited: []string{"p1", "p2", "p3"}},
+		"that prefill":               {path: "/stream/x", ends: modelEndpoints(), limited: []string{"pre1"}},
+		"that decode":                {path: "/resumable/x", ends: modelEndpoints(), limited: []string{"dec1", "dec2"}},
+		"while a box ends":           {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2", "p3"}, during: (*site).stopLastBox},
+		"while a box starts":         {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2", "p3"}, during: (*site).startAnotherBox},
+		"that turn requests away":    {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2"}, during: (*site).rejectRequests},
+		"whose answers are lost":     {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2"}, during: (*site).loseAnswers},
+		"that decode, a box ends":    {path: "/stream/x", ends: modelEndpoints(), limited: []string{"dec1", "dec2"}, during: (*site).stopLastBox},
+		"that prefill, a box starts": {path: "/stream/x", ends: modelEndpoints(), limited: []string{"pre1"}, during: (*site).startAnotherBox},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			convey.Convey("Endpoints that name a limit get no more from all boxes together, and that they get", t, func() {
+			convey.Convey("Endpoints that announce a limit receive no more from all boxes together, but do receive requests", t, func() {
 				s := newSite(t, 3, c.ends...)
 				for _, id := range c.limited {
-					s.ends[id].NameLimit(namedLimit)
+					s.endpoints[id].NameLimit(namedLimit)
 				}
-				p := s.press(c.path, s.boxes[:pressed]...)
-				s.heldToLimits(pressed, c.limited...)
+				p := s.startLoad(c.path, s.boxes[:loadedBoxes]...)
+				s.waitForLimits(loadedBoxes, c.limited...)
 				from := time.Now()
 				time.Sleep(limitWindow / 2)
 				if c.during != nil {
@@ -145,48 +146,48 @@
 				}
 				time.Sleep(limitWindow)
 				for _, id := range c.limited {
-					s.eventually("the endpoint gets some", func() bool { return s.ends[id].Arrivals().Since(from) >= namedLimit })
+					s.eventually("the endpoint gets some", func() bool { return s.endpoints[id].Arrivals().Since(from) >= namedLimit })
 				}
 				p.stop()
 				for _, id := range c.limited {
-					fullest := s.ends[id].Arrivals().Fullest(limitWindow, from)
-					t.Logf("%s: %d in the fullest window, %d in all", id, fullest, s.ends[id].Arrivals().Since(from))
+					fullest := s.endpoints[id].Arrivals().Fullest(limitWindow, from)
+					t.Logf("%s: %d in the fullest window, %d in all", id, fullest, s.endpoints[id].Arrivals().Since(from))
 					convey.So(fullest, convey.ShouldBeLessThanOrEqualTo, int(limitBound))
 				}
-				t.Logf("served %d, refused with a time to come back %d, without %d", p.served.Load(), p.refused.Load(), p.without.Load())
+				t.Logf("served %d, refused with Retry-After %d, without %d", p.served.Load(), p.refused.Load(), p.without.Load())
 				convey.So(p.without.Load(), convey.ShouldEqual, 0)
 			})
 		})
 	}
 }
 
-// endLast ends the last box, which is the home of some groups.
-func (s *site) endLast() {
+// stopLastBox stops the last box, which is the home of some groups.
+func (s *site) stopLastBox() {
 	last := s.boxes[len(s.boxes)-1]
 	last.stop()
-	<-last.ended
+	<-last.done
 }
 
-// startOneMore starts a box, which becomes the home of some groups.
-func (s *site) startOneMore() {
+// startAnotherBox starts another box, which becomes the home of some groups.
+func (s *site) startAnotherBox() {
 	b := s.start("box-4")
 	s.eventually("the box that starts is ready", b.Ready)
 }
 
-// fillUp has an endpoint turn all requests away.
-func (s *site) fillUp() { s.ends["p1"].Behave(standin.Full) }
+// rejectRequests makes an endpoint reject all requests.
+func (s *site) rejectRequests() { s.endpoints["p1"].Behave(standin.Full) }
 
-// loseAnswers has an endpoint end connections in place of its answers.
-func (s *site) loseAnswers() { s.ends["p1"].Behave(standin.Lost) }
+// loseAnswers makes an endpoint close connections instead of answering.
+func (s *site) loseAnswers() { s.endpoints["p1"].Behave(standin.Lost) }
 
-// TestLimitThatEnds shows that an endpoint gets its usual share once it names no limit.
+// TestLimitThatEnds checks that an endpoint is no longer limited once its answers announce no limit.
 func TestLimitThatEnds(t *testing.T) {
-	convey.Convey("An endpoint whose answers name no limit any more is not held back", t, func() {
-		s := newSite(t, 2, plainEnds()[0])
-		e := s.ends["p1"]
+	convey.Convey("An endpoint whose answers no longer announce a limit is not limited", t, func() {
+		s := newSite(t, 2, plainEndpoints()[0])
+		e := s.endpoints["p1"]
 		e.NameLimit(namedLimit)
-		p := s.press("/safe/x", s.boxes...)
-		s.heldToLimits(len(s.boxes), e.ID)
+		p := s.startLoad("/safe/x", s.boxes...)
+		s.waitForLimits(len(s.boxes), e.ID)
 		p.stop()
 		e.NameNoLimit()
 		before := len(e.Runs())
--- a/tests/routed/poison_test.go
+++ b/tests/routed/poison_test.go
@@ -21,37 +21,34 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// The story. Callers of a model service found a third of their requests refused or broken off
-// for ten seconds at a time, three times in two minutes. Each time all decode endpoints had
-// ended within a second or so, and those that started in their place ended as soon as requests
-// reached them: some twenty in each span. Endpoints that only read prompts lived on.
+// These tests guard against one request that crashes each endpoint that runs it. In the incident
+// behind them, a third of a model service's requests were refused or cut for ten seconds, three
+// times in two minutes: all decode endpoints crashed within about a second, and so did their
+// replacements, some twenty in each period, while endpoints that only prefill kept running.
 //
-// The order of events, each time the same: a request comes to a box, runs on an endpoint, and
-// the endpoint ends some 50 ms later with all that it had under way. The box tries the request
-// at a second endpoint, which ends too, and answers 502. Its caller tries again at another box,
-// under a new id: two more endpoints.
-//
-// The cause: all that a box learns of a request is kept under the id of one try, and is gone
-// with it. That the same request had ended other endpoints, under another id or at another box,
-// no box could know. The evidence: the logs of seven boxes had 18 tries alike in all that they
-// show, each followed by the end of the endpoint that it had reached within 35 to 100 ms, while
-// what else was cut there had run for seconds; with a fingerprint for requests that ask the
-// same, this test shows one fingerprint at every end.
+// Each attempt crashed its endpoint some 50 ms after it began, together with everything in flight
+// there. The box retried the request at a second endpoint, which crashed too, and answered 502;
+// the caller then retried at another box under a new id. Boxes kept what they learned of a request
+// under its id and dropped it when the request ended, so no box knew of crashes under another id
+// or at another box. The logs of seven boxes showed 18 such requests alike in all that was logged,
+// each followed by the crash of its endpoint within 35 to 100 ms, whereas the other requests cut
+// there had run for seconds. With fingerprints that are equal for equal requests, the tests see
+// the same fingerprint at every crash.
 
-// poison is what ends an endpoint that runs a request with it in its body.
+// poison in the body of a request crashes the endpoint that runs it.
 const poison = "too much for an endpoint"
 
 const (
-	// poisonTries is how often the request comes.
-	poisonTries = 12
-	// endsToKnow is how many endpoints it ends until it is known for what it is, and
-	// mostEnded how many it may: a try that is repeated ends two.
-	endsToKnow = 3
-	mostEnded  = 4
+	// poisonRequests is how many times a test sends the poison request.
+	poisonRequests = 12
+	// crashesToBlock is the number of crashes after which boxes recognize the request as poison, and
+	// maxCrashes the most that are allowed: a request that is retried crashes two endpoints.
+	crashesToBlock = 3
+	maxCrashes     = 4
 )
 
-// poisonEnds are endpoints that poison ends, as many as are ended without a bound.
-func poisonEnds(after int) []standin.EndpointConfig {
+// poisonEndpoints returns endpoints that poison crashes, more than the request may crash.
+func poisonEndpoints(after int) []standin.EndpointConfig {
 	var out []standin.EndpointConfig
 	for i := range 6 {
 		out = append(out,
@@ -61,63 +58,63 @@
 	return append(out, standin.EndpointConfig{ID: "pre", Service: modelService, Zone: "zone-a", Stage: "prefill", Events: 6})
 }
 
-// settled waits until boxes have found so many ends of endpoints, and all of them know the
-// request that ended enough, or for so long that they are not going to.
-func (s *site) settled(ends int) {
+// waitCrashesDetected waits until the boxes have detected this many crashes and, from crashesToBlock on, until all
+// of them know of the poison request. It gives up after two seconds without failing the test.
+func (s *site) waitCrashesDetected(ends int) {
 	const (
 		pause = 10 * time.Millisecond
 		tries = 200
 	)
 	for range tries {
 		found := strings.Count(s.logs.String(), "msg=endpoint_ended") >= ends
-		if found && (ends < endsToKnow || s.allKnowPoison()) {
+		if found && (ends < crashesToBlock || s.allBlockPoison()) {
 			return
 		}
 		time.Sleep(pause)
 	}
 }
 
-// allKnowPoison says whether all boxes have logged that they know of a poison request.
-func (s *site) allKnowPoison() bool {
+// allBlockPoison reports whether all boxes have logged that they block a poison request.
+func (s *site) allBlockPoison() bool {
 	for i := range s.boxes {
-		if !s.knowsPoison(fmt.Sprintf("box-%d", i+1)) {
+		if !s.blocksPoison(fmt.Sprintf("box-%d", i+1)) {
 			return false
 		}
 	}
 	return true
 }
 
-// again has an endpoint start under the id that it had, and anew under another one.
-func again(e standin.EndpointConfig) standin.EndpointConfig { return e }
+// sameID keeps the id of an endpoint that restarts; newID gives it another one.
+func sameID(e standin.EndpointConfig) standin.EndpointConfig { return e }
 
-func anew(e standin.EndpointConfig) standin.EndpointConfig {
+func newID(e standin.EndpointConfig) standin.EndpointConfig {
 	e.ID += "+"
 	return e
 }
 
-// replaceEnded starts a new endpoint in place of each that a request has ended, and says how
-// many there were.
-func (s *site) replaceEnded(start func(e standin.EndpointConfig) standin.EndpointConfig) int {
+// replaceCrashed replaces each crashed endpoint by a new one, waits until all boxes know the new
+// ones, and returns how many there were.
+func (s *site) replaceCrashed(start func(e standin.EndpointConfig) standin.EndpointConfig) int {
 	s.t.Helper()
 	var ended []*standin.Endpoint
-	for _, e := range s.ends {
+	for _, e := range s.endpoints {
 		if e.Crashed() {
 			ended = append(ended, e)
 		}
 	}
 	for _, e := range ended {
-		delete(s.ends, e.ID)
+		delete(s.endpoints, e.ID)
 		s.store.Delete("servers", e.ID)
 		e.Close()
 		next := start(e.EndpointConfig)
 		s.add(next)
-		s.allHave(next.ID, cmp.Or(next.Told, s.ends[next.ID].Address()))
+		s.waitAddressKnown(next.ID, cmp.Or(next.Told, s.endpoints[next.ID].Address()))
 	}
 	return len(ended)
 }
 
-// allHave waits until all boxes know an endpoint at its address.
-func (s *site) allHave(id, address string) {
+// waitAddressKnown waits until all boxes know an endpoint under the given address.
+func (s *site) waitAddressKnown(id, address string) {
 	s.t.Helper()
 	for _, b := range s.boxes {
 		s.eventually("the endpoint is known", func() bool {
@@ -127,30 +124,30 @@
 	}
 }
 
-// arrivals is how many requests reached endpoints, prefills and what was turned away
-// included.
-func (s *site) arrivals() int {
+// totalArrivals returns how many requests endpoints have received, including prefills and rejected
+// attempts.
+func (s *site) totalArrivals() int {
 	n := 0
-	for _, e := range s.ends {
+	for _, e := range s.endpoints {
 		n += e.Sends()
 	}
 	return n
 }
 
-// fingerprintField finds the field of a log line.
-var fingerprintField = regexp.MustCompile(`fingerprint=\S+`)
+// fingerprintPattern matches the fingerprint field of a log line.
+var fingerprintPattern = regexp.MustCompile(`fingerprint=\S+`)
 
-// fingerprints is how many different requests the logs name whose exchanges broke off.
-func (s *site) fingerprints() int {
+// countFingerprints returns how many different fingerprints the logs contain.
+func (s *site) countFingerprints() int {
 	seen := make(map[string]bool)
-	for _, found := range fingerprintField.FindAllString(s.logs.String(), -1) {
+	for _, found := range fingerprintPattern.FindAllString(s.logs.String(), -1) {
 		seen[found] = true
 	}
 	return len(seen)
 }
 
-// knowsPoison says whether a box has logged that it knows of a poison request.
-func (s *site) knowsPoison(box string) bool {
+// blocksPoison reports whether a box has logged that it blocks a poison request.
+func (s *site) blocksPoison(box string) bool {
 	for line := range strings.Lines(s.logs.String()) {
 		if strings.Contains(line, "msg=poison_changed") && strings.Contains(line, "box="+box+" ") && !strings.Contains(line, "blocked=0 ") {
 			return true
@@ -162,42 +159,42 @@
 func TestPoisonRequest(t *testing.T) {
 	cases := map[string]struct {
 		path string
-		// after is how many events of a stream come before the endpoint ends.
+		// after is how many events of a stream the endpoint sends before it crashes.
 		after int
-		// start starts an endpoint in place of one that has ended; nil is anew.
+		// start makes the replacement of a crashed endpoint; nil selects newID.
 		start func(e standin.EndpointConfig) standin.EndpointConfig
 	}{
 		"plain, may be repeated": {path: "/safe/x"},
 		"plain, runs once":       {path: "/unsafe/x"},
 		"a stream":               {path: "/stream/x"},
-		"plain, endpoints start again under their ids": {path: "/safe/x", start: again},
+		"plain, endpoints start again under their ids": {path: "/safe/x", start: sameID},
 		"a stream, in its middle":                      {path: "/stream/x", after: 2},
 		"a stream that may be resumed":                 {path: "/resumable/x"},
 		"a stream that is resumed, each time":          {path: "/resumable/x", after: 2},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			convey.Convey("A request that ends every endpoint that runs it, and comes again, soon reaches none", t, func() {
+			convey.Convey("A request that crashes every endpoint that runs it, and is sent again, soon reaches none", t, func() {
 				if c.start == nil {
-					c.start = anew
+					c.start = newID
 				}
-				s := newSite(t, 3, poisonEnds(c.after)...)
+				s := newSite(t, 3, poisonEndpoints(c.after)...)
 				ended := 0
-				for try := range poisonTries {
+				for try := range poisonRequests {
 					s.send(s.boxes[try%len(s.boxes)], http.MethodPost, c.path, poison, nil)
-					ended += s.replaceEnded(c.start)
-					s.settled(ended)
+					ended += s.replaceCrashed(c.start)
+					s.waitCrashesDetected(ended)
 				}
-				t.Logf("%d tries ended %d endpoints", poisonTries, ended)
-				convey.So(s.fingerprints(), convey.ShouldEqual, 1)
-				convey.So(ended, convey.ShouldBeLessThanOrEqualTo, mostEnded)
+				t.Logf("%d requests crashed %d endpoints", poisonRequests, ended)
+				convey.So(s.countFingerprints(), convey.ShouldEqual, 1)
+				convey.So(ended, convey.ShouldBeLessThanOrEqualTo, maxCrashes)
 				late := s.start("box-4")
 				s.eventually("the box that starts is ready", late.Ready)
-				s.eventually("it has heard of the request", func() bool { return s.knowsPoison("box-4") })
+				s.eventually("it has heard of the request", func() bool { return s.blocksPoison("box-4") })
 				for _, b := range s.boxes {
-					before := s.arrivals()
+					before := s.totalArrivals()
 					a := s.send(b, http.MethodPost, c.path, poison, nil)
-					convey.So(s.arrivals(), convey.ShouldEqual, before)
+					convey.So(s.totalArrivals(), convey.ShouldEqual, before)
 					convey.So(a.status, convey.ShouldEqual, http.StatusServiceUnavailable)
 					convey.So(a.header.Get("Retry-After"), convey.ShouldNotBeEmpty)
 					convey.So(s.send(b, http.MethodPost, c.path, "another body", nil).status, convey.ShouldEqual, http.StatusOK)
@@ -207,69 +204,70 @@
 	}
 }
 
-// forwarders stand before endpoints: each takes connections at the address that its
-// endpoint's entry has, and passes them on. Once the endpoint has ended it still takes
-// them, and resets them.
-type forwarders struct {
-	t     *testing.T
-	net   *proxy.Net
-	links map[string]*proxy.Proxy
+// endpointProxies are proxies in front of endpoints: each accepts connections at the address that the
+// store lists for its endpoint and forwards them. After the endpoint has crashed, its proxy still
+// accepts connections and resets them.
+type endpointProxies struct {
+	t       *testing.T
+	net     *proxy.Net
+	proxies map[string]*proxy.Proxy
 }
 
-// before puts a forwarder before an endpoint that is to start.
-func (f *forwarders) before(e standin.EndpointConfig) standin.EndpointConfig {
+// addProxy creates the proxy of an endpoint that is about to start and returns the endpoint's
+// configuration with the proxy's address.
+func (f *endpointProxies) addProxy(e standin.EndpointConfig) standin.EndpointConfig {
 	f.t.Helper()
 	link, err := f.net.Listen(proxy.Endpoint, e.ID, func(net.Conn) string { return "" })
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.links[e.ID], e.Told = link, link.Addr()
+	f.proxies[e.ID], e.Told = link, link.Addr()
 	return e
 }
 
-// forward has all endpoints of a site reached.
-func (f *forwarders) forward(s *site) {
-	for id, e := range s.ends {
-		f.links[id].SetTarget(e.Address())
+// setTargets points the proxies at the current addresses of a site's endpoints.
+func (f *endpointProxies) setTargets(s *site) {
+	for id, e := range s.endpoints {
+		f.proxies[id].SetTarget(e.Address())
 	}
 }
 
-// TestPoisonBehindForwarders has endpoints that are reached through what takes connections for
-// them, as a proxy or a forwarder of ports does. The soak found it: its links do that, and one
-// request ended 31 endpoints in 12 s. A box connected to look whether an endpoint had ended, was
-// taken, and believed that it had not: no box ever recorded one end.
+// TestPoisonBehindForwarders guards against crashes that stay undetected behind a proxy or port
+// forwarder, as in the soak, where one request crashed 31 endpoints in 12 s. A box checked by
+// connecting whether an endpoint had crashed; the proxy accepted the connection, so no box ever
+// recorded a crash.
 func TestPoisonBehindForwarders(t *testing.T) {
-	convey.Convey("That something takes connections does not hide that the endpoint behind it has ended", t, func() {
-		f := &forwarders{t: t, net: proxy.New(nil), links: make(map[string]*proxy.Proxy)}
+	convey.Convey("A proxy that accepts connections does not hide that the endpoint behind it has crashed", t, func() {
+		f := &endpointProxies{t: t, net: proxy.New(nil), proxies: make(map[string]*proxy.Proxy)}
 		defer f.net.Close()
 		var ends []standin.EndpointConfig
-		for _, e := range poisonEnds(0) {
-			ends = append(ends, f.before(e))
+		for _, e := range poisonEndpoints(0) {
+			ends = append(ends, f.addProxy(e))
 		}
 		s := newSite(t, 3, ends...)
-		f.forward(s)
+		f.setTargets(s)
 		ended := 0
-		for try := range poisonTries {
+		for try := range poisonRequests {
 			s.send(s.boxes[try%len(s.boxes)], http.MethodPost, "/stream/x", poison, nil)
-			ended += s.replaceEnded(func(e standin.EndpointConfig) standin.EndpointConfig { return f.before(anew(e)) })
-			f.forward(s)
-			s.settled(ended)
+			ended += s.replaceCrashed(func(e standin.EndpointConfig) standin.EndpointConfig { return f.addProxy(newID(e)) })
+			f.setTargets(s)
+			s.waitCrashesDetected(ended)
 		}
-		t.Logf("%d tries ended %d endpoints", poisonTries, ended)
-		convey.So(ended, convey.ShouldBeLessThanOrEqualTo, mostEnded)
+		t.Logf("%d requests crashed %d endpoints", poisonRequests, ended)
+		convey.So(ended, convey.ShouldBeLessThanOrEqualTo, maxCrashes)
 	})
 }
 
-// TestPoisonSparesOthers has streams run beside a poison request, each on its own body, until
-// it is known for what it is: each is cut as often as its endpoint ends, goes on elsewhere or is
-// tried again by its caller, and none of them is ever taken for poison.
+// TestPoisonSparesOthers runs streams with different bodies beside a poison request. They are cut
+// whenever their endpoint crashes, and then resumed elsewhere or retried by the caller; none of them
+// may be taken for poison.
 func TestPoisonSparesOthers(t *testing.T) {
 	const (
 		others = 12
 		turns  = 4
 	)
-	convey.Convey("What runs beside a request that ends its endpoints is served in the end", t, func() {
-		ends := poisonEnds(0)
+	convey.Convey("Requests that run beside one that crashes its endpoints are served in the end", t, func() {
+		ends := poisonEndpoints(0)
 		for i := range ends {
 			ends[i].EventGap = 10 * time.Millisecond
 			ends[i].Events = 20
@@ -283,7 +281,7 @@
 					body := fmt.Sprintf("order %d of %d", turn, i)
 					for whole := false; !whole; {
 						a := s.send(s.boxes[(i+turn)%3], http.MethodPost, "/resumable/x", body, nil)
-						whole = a.status == http.StatusOK && a.whole
+						whole = a.status == http.StatusOK && a.complete
 						if !whole {
 							broken.Add(1)
 							time.Sleep(20 * time.Millisecond)
@@ -294,12 +292,12 @@
 			})
 		}
 		ended := 0
-		for try := range poisonTries {
+		for try := range poisonRequests {
 			s.send(s.boxes[try%3], http.MethodPost, "/resumable/x", poison, nil)
-			ended += s.replaceEnded(anew)
+			ended += s.replaceCrashed(newID)
 		}
 		running.Wait()
-		t.Logf("%d endpoints ended, %d others served, %d times on a further try", ended, served.Load(), broken.Load())
+		t.Logf("%d endpoints crashed, %d other requests served after %d retries", ended, served.Load(), broken.Load())
 		convey.So(ended, convey.ShouldBeGreaterThanOrEqualTo, 3)
 		convey.So(served.Load(), convey.ShouldEqual, others*turns)
 		for line := range strings.Lines(s.logs.String()) {
--- a/tests/routed/regions_test.go
+++ b/tests/routed/regions_test.go
@@ -15,18 +15,18 @@
 	"runridge.example/runridge/transport/operatorhttp"
 )
 
-// threeZones are plain endpoints and engines of both stages in zones of two regions.
-func threeZones() []standin.EndpointConfig {
-	out := twoZones()
-	for _, e := range twoZones()[3:] {
+// threeZoneEndpoints returns a plain endpoint and an engine of each stage in each of three zones of two regions.
+func threeZoneEndpoints() []standin.EndpointConfig {
+	out := twoZoneEndpoints()
+	for _, e := range twoZoneEndpoints()[3:] {
 		e.ID, e.Zone = e.ID[:len(e.ID)-1]+"c", "zone-c"
 		out = append(out, e)
 	}
 	return out
 }
 
-// manyInThreeZones are so many plain endpoints that each zone is a group.
-func manyInThreeZones() []standin.EndpointConfig {
+// manyThreeZoneEndpoints returns enough plain endpoints that each of three zones forms a group of its own.
+func manyThreeZoneEndpoints() []standin.EndpointConfig {
 	var out []standin.EndpointConfig
 	for i := range 21 {
 		zone := []string{"zone-a", "zone-b", "zone-c"}[i%3]
@@ -35,20 +35,20 @@
 	return out
 }
 
-// allowing is the configuration with allowed regions of all routes and of the account.
-func allowing(version int, route, account []string) map[string]any {
-	c := withTenants(version, tenant("desk", map[string]any{"allowed_regions": account}, keyDesk))
+// configurationWithRegions returns the configuration with allowed regions for all routes and for the account.
+func configurationWithRegions(version int, route, account []string) map[string]any {
+	c := configurationWithAccounts(version, accountEntry("desk", map[string]any{"allowed_regions": account}, keyDesk))
 	for _, r := range c["routes"].([]any) {
 		r.(map[string]any)["allowed_regions"] = route
 	}
 	return c
 }
 
-// zonesOf are the zones in which a request arrived, prefills and attempts that were
-// turned away included.
-func (s *site) zonesOf(id string) []string {
+// zonesReached returns the zones whose endpoints received a request, including prefills and
+// rejected attempts.
+func (s *site) zonesReached(id string) []string {
 	var out []string
-	for _, e := range s.ends {
+	for _, e := range s.endpoints {
 		for _, h := range e.Heads() {
 			if h.Get("X-Request-Id") == id {
 				out = append(out, e.Zone)
@@ -59,9 +59,9 @@
 	return slices.Compact(out)
 }
 
-// misbehave has the endpoints of some stages act in a manner, in the zones given.
-func (s *site) misbehave(m standin.Manner, stage string, zones ...string) {
-	for _, e := range s.ends {
+// setManner makes the endpoints of a stage in the given zones behave in a manner.
+func (s *site) setManner(m standin.Manner, stage string, zones ...string) {
+	for _, e := range s.endpoints {
 		if e.Stage == stage && slices.Contains(zones, e.Zone) {
 			e.Behave(m)
 		}
@@ -74,32 +74,32 @@
 		route, account []string
 		ends           []standin.EndpointConfig
 		paths          []string
-		// fault is what happens meanwhile.
+		// fault, if set, causes a fault before the requests are sent.
 		fault func(s *site)
-		// zones are all that a request may arrive in; none means refused.
+		// zones are all that may receive a request; without any it must be refused.
 		zones []string
-		// fails says that requests may fail.
+		// fails is set if requests may fail.
 		fails bool
 	}{
-		"of the account, all kinds":  {account: []string{"south"}, ends: threeZones(), paths: all, zones: []string{"zone-c"}},
-		"of the route, all kinds":    {route: []string{"south"}, ends: threeZones(), paths: all, zones: []string{"zone-c"}},
-		"both bind":                  {route: []string{"north", "south"}, account: []string{"south", "west"}, ends: threeZones(), paths: all, zones: []string{"zone-c"}},
-		"a group for each zone":      {account: []string{"south"}, ends: manyInThreeZones(), paths: all[:2], zones: []string{"zone-c"}},
-		"nothing in common":          {route: []string{"north"}, account: []string{"south"}, ends: threeZones(), paths: all},
-		"no endpoint in the region":  {account: []string{"west"}, ends: threeZones(), paths: all},
-		"groups without the region":  {account: []string{"west"}, ends: manyInThreeZones(), paths: all[:2]},
-		"the only zone is drained":   {account: []string{"south"}, ends: threeZones(), paths: all, fault: func(s *site) { s.drain("zone-c"); s.allKnow("zone-c", true) }},
-		"one of two zones drained":   {account: []string{"north"}, ends: threeZones(), paths: all, zones: []string{"zone-b"}, fault: func(s *site) { s.drain("zone-a"); s.allKnow("zone-a", true) }},
-		"answers are lost there":     {account: []string{"south"}, ends: threeZones(), paths: all[:2], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.misbehave(standin.Lost, "", "zone-c") }},
-		"prefills are turned away":   {account: []string{"south"}, ends: threeZones(), paths: all[2:], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.misbehave(standin.Full, "prefill", "zone-c") }},
-		"decodes are turned away":    {account: []string{"south"}, ends: threeZones(), paths: all[2:], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.misbehave(standin.Full, "decode", "zone-c") }},
-		"streams are cut and resume": {account: []string{"north"}, ends: threeZones(), paths: all[3:], zones: []string{"zone-a", "zone-b"}, fails: true, fault: func(s *site) { s.misbehave(standin.Cut, "decode", "zone-a") }},
+		"of the account, all kinds":  {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all, zones: []string{"zone-c"}},
+		"of the route, all kinds":    {route: []string{"south"}, ends: threeZoneEndpoints(), paths: all, zones: []string{"zone-c"}},
+		"both bind":                  {route: []string{"north", "south"}, account: []string{"south", "west"}, ends: threeZoneEndpoints(), paths: all, zones: []string{"zone-c"}},
+		"a group for each zone":      {account: []string{"south"}, ends: manyThreeZoneEndpoints(), paths: all[:2], zones: []string{"zone-c"}},
+		"nothing in common":          {route: []string{"north"}, account: []string{"south"}, ends: threeZoneEndpoints(), paths: all},
+		"no endpoint in the region":  {account: []string{"west"}, ends: threeZoneEndpoints(), paths: all},
+		"groups without the region":  {account: []string{"west"}, ends: manyThreeZoneEndpoints(), paths: all[:2]},
+		"the only zone is drained":   {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all, fault: func(s *site) { s.drain("zone-c"); s.waitDrained("zone-c", true) }},
+		"one of two zones drained":   {account: []string{"north"}, ends: threeZoneEndpoints(), paths: all, zones: []string{"zone-b"}, fault: func(s *site) { s.drain("zone-a"); s.waitDrained("zone-a", true) }},
+		"answers are lost there":     {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all[:2], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.setManner(standin.Lost, "", "zone-c") }},
+		"prefills are turned away":   {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all[2:], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.setManner(standin.Full, "prefill", "zone-c") }},
+		"decodes are turned away":    {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all[2:], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.setManner(standin.Full, "decode", "zone-c") }},
+		"streams are cut and resume": {account: []string{"north"}, ends: threeZoneEndpoints(), paths: all[3:], zones: []string{"zone-a", "zone-b"}, fails: true, fault: func(s *site) { s.setManner(standin.Cut, "decode", "zone-a") }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey(name, t, func() {
 				s := newSite(t, 2, c.ends...)
-				s.configure(allowing(2, c.route, c.account))
+				s.configure(configurationWithRegions(2, c.route, c.account))
 				for _, b := range s.boxes {
 					shown := 0
 					for _, bound := range b.Status().Bound {
@@ -115,14 +115,14 @@
 				for _, b := range s.boxes {
 					for _, path := range slices.Concat(c.paths, c.paths) {
 						a := s.send(b, http.MethodPost, path, "prompt", bearer(keyDesk))
-						for _, zone := range s.zonesOf(a.id) {
+						for _, zone := range s.zonesReached(a.id) {
 							convey.So(c.zones, convey.ShouldContain, zone)
 						}
 						switch {
 						case len(c.zones) == 0:
 							convey.So(a.status, convey.ShouldEqual, http.StatusServiceUnavailable)
 							convey.So(a.header.Get("Retry-After"), convey.ShouldNotBeEmpty)
-							convey.So(s.zonesOf(a.id), convey.ShouldBeEmpty)
+							convey.So(s.zonesReached(a.id), convey.ShouldBeEmpty)
 						case !c.fails:
 							convey.So(a.status, convey.ShouldEqual, http.StatusOK)
 						}
@@ -135,14 +135,14 @@
 
 func TestAllowedRegionsChange(t *testing.T) {
 	convey.Convey("Regions that are allowed no more get nothing from the moment that a box knows", t, func() {
-		s := newSite(t, 2, threeZones()...)
+		s := newSite(t, 2, threeZoneEndpoints()...)
 		for i, region := range []string{"north", "south", "north"} {
-			s.configure(allowing(i+2, nil, []string{region}))
+			s.configure(configurationWithRegions(i+2, nil, []string{region}))
 			for _, b := range s.boxes {
 				for _, path := range []string{"/safe/x", "/stream/x"} {
 					a := s.send(b, http.MethodPost, path, "prompt", bearer(keyDesk))
 					convey.So(a.status, convey.ShouldEqual, http.StatusOK)
-					for _, zone := range s.zonesOf(a.id) {
+					for _, zone := range s.zonesReached(a.id) {
 						convey.So(regions[zone], convey.ShouldEqual, region)
 					}
 				}
--- a/tests/routed/routed_test.go
+++ b/tests/routed/routed_test.go
@@ -16,8 +16,8 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// stream is the whole text of a stream of n events.
-func stream(n int) string {
+// streamBody returns the complete body of a stream of n events.
+func streamBody(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %d\n\n", i, i)
@@ -27,7 +27,7 @@
 
 func TestAnswersUnchanged(t *testing.T) {
 	convey.Convey("A request reaches an endpoint as it was sent, and its answer comes back unchanged", t, func() {
-		s := newSite(t, 2, append(plainEnds(), modelEnds()...)...)
+		s := newSite(t, 2, append(plainEndpoints(), modelEndpoints()...)...)
 		for _, b := range s.boxes {
 			a := s.send(b, http.MethodPost, "/unsafe/x?y=1", "the body", map[string]string{
 				"X-Deadline-Ms": "4000", "X-Expect-Instance": "forged", "X-Stage": "prefill", "X-Kv-Source": "1.2.3.4:5/h",
@@ -37,7 +37,7 @@
 			convey.So(a.body, convey.ShouldStartWith, "answer of p")
 			convey.So(a.header.Get("X-Server-Signature"), convey.ShouldEqual, "signed."+strings.TrimPrefix(a.body, "answer of "))
 			convey.So(a.header.Get("X-Request-Id"), convey.ShouldEqual, a.id)
-			run := s.runOf(a.id)
+			run := s.runByID(a.id)
 			convey.So(run.Method, convey.ShouldEqual, http.MethodPost)
 			convey.So(run.Target, convey.ShouldEqual, "/unsafe/x?y=1")
 			convey.So(run.Body, convey.ShouldEqual, "the body")
@@ -49,18 +49,18 @@
 		}
 	})
 	convey.Convey("A stream comes event by event, after a prefill elsewhere", t, func() {
-		s := newSite(t, 2, modelEnds()...)
+		s := newSite(t, 2, modelEndpoints()...)
 		a := s.send(s.boxes[0], http.MethodPost, "/stream/x", "prompt", nil)
 		convey.So(a.status, convey.ShouldEqual, http.StatusOK)
-		convey.So(a.whole, convey.ShouldBeTrue)
-		convey.So(a.body, convey.ShouldEqual, stream(6))
+		convey.So(a.complete, convey.ShouldBeTrue)
+		convey.So(a.body, convey.ShouldEqual, streamBody(6))
 		convey.So(s.runs(a.id), convey.ShouldEqual, 1)
 	})
 }
 
-// ready asks a box as the platform's balancer does.
-func (s *site) ready(b *running) bool {
-	resp, err := http.Get("http://" + b.ready + "/readyz")
+// readyzOK reports whether a box answers the readiness check of the platform's load balancer with 200.
+func (s *site) readyzOK(b *runningBox) bool {
+	resp, err := http.Get("http://" + b.readyAddr + "/readyz")
 	if err != nil {
 		return false
 	}
@@ -68,9 +68,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// runOf is the one run of a request.
-func (s *site) runOf(id string) standin.Run {
-	for _, e := range s.ends {
+// runByID returns a run of the request with this id, and fails the test if there is none.
+func (s *site) runByID(id string) standin.Run {
+	for _, e := range s.endpoints {
 		for _, r := range e.Runs() {
 			if r.ID == id {
 				return r
@@ -84,9 +84,9 @@
 func TestManners(t *testing.T) {
 	type expected struct {
 		status int
-		// runs is how often the request may have run.
+		// runs is how many times endpoints must have run the request.
 		runs int
-		// retry says that the answer tells when to come again.
+		// retry is set if the answer must have a Retry-After header.
 		retry bool
 	}
 	cases := map[string]struct {
@@ -110,8 +110,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey(name, t, func() {
-				s := newSite(t, 1, plainEnds()...)
-				for _, e := range s.ends {
+				s := newSite(t, 1, plainEndpoints()...)
+				for _, e := range s.endpoints {
 					e.Behave(c.manner)
 				}
 				a := s.send(s.boxes[0], http.MethodPost, c.path, "x", nil)
@@ -125,8 +125,8 @@
 
 func TestSecondAnswerBelongsToNobody(t *testing.T) {
 	convey.Convey("Bytes after an answer never reach a later request", t, func() {
-		s := newSite(t, 1, plainEnds()[:1]...)
-		s.ends["p1"].Behave(standin.Extra)
+		s := newSite(t, 1, plainEndpoints()[:1]...)
+		s.endpoints["p1"].Behave(standin.Extra)
 		for range 5 {
 			a := s.send(s.boxes[0], http.MethodGet, "/safe/x", "", nil)
 			convey.So(a.status, convey.ShouldEqual, http.StatusOK)
@@ -138,8 +138,8 @@
 
 func TestSafeGoesElsewhere(t *testing.T) {
 	convey.Convey("A safe request that one endpoint lost is answered by another", t, func() {
-		s := newSite(t, 1, plainEnds()[:2]...)
-		s.ends["p1"].Behave(standin.Lost)
+		s := newSite(t, 1, plainEndpoints()[:2]...)
+		s.endpoints["p1"].Behave(standin.Lost)
 		for range 4 {
 			a := s.send(s.boxes[0], http.MethodGet, "/safe/x", "", nil)
 			convey.So(a.status, convey.ShouldEqual, http.StatusOK)
@@ -150,35 +150,35 @@
 
 func TestRetryBudget(t *testing.T) {
 	convey.Convey("Without a budget a failed request is answered at once, and not sent again", t, func() {
-		s := newSiteWith(t, 0, 1, plainEnds()...)
-		for _, e := range s.ends {
+		s := newSiteWith(t, 0, 1, plainEndpoints()...)
+		for _, e := range s.endpoints {
 			e.Behave(standin.Lost)
 		}
 		a := s.send(s.boxes[0], http.MethodGet, "/safe/x", "", nil)
 		convey.So(a.status, convey.ShouldEqual, http.StatusBadGateway)
 		convey.So(s.runs(a.id), convey.ShouldEqual, 1)
-		for _, e := range s.ends {
+		for _, e := range s.endpoints {
 			e.Behave(standin.Full)
 		}
 		a = s.send(s.boxes[0], http.MethodGet, "/safe/x", "", nil)
 		convey.So(a.status, convey.ShouldEqual, http.StatusServiceUnavailable)
 		convey.So(a.header.Get("Retry-After"), convey.ShouldNotBeEmpty)
 	})
-	convey.Convey("A prefill that an engine turned away is the request's first arrival: without a budget nothing follows", t, func() {
-		s := newSiteWith(t, 0, 1, modelEnds()...)
-		s.ends["pre1"].Behave(standin.Full)
+	convey.Convey("A prefill that an engine rejected is the request's first arrival: without a budget nothing follows", t, func() {
+		s := newSiteWith(t, 0, 1, modelEndpoints()...)
+		s.endpoints["pre1"].Behave(standin.Full)
 		a := s.send(s.boxes[0], http.MethodPost, "/stream/x", "prompt", nil)
 		convey.So(a.status, convey.ShouldEqual, http.StatusServiceUnavailable)
 		convey.So(s.runs(a.id), convey.ShouldEqual, 0)
 		arrivals := 0
-		for _, e := range s.ends {
+		for _, e := range s.endpoints {
 			arrivals += e.Sends()
 		}
 		convey.So(arrivals, convey.ShouldEqual, 1)
 	})
 	convey.Convey("An endpoint's own failure is passed on when there is no budget for a retry", t, func() {
-		s := newSiteWith(t, 0, 1, plainEnds()...)
-		for _, e := range s.ends {
+		s := newSiteWith(t, 0, 1, plainEndpoints()...)
+		for _, e := range s.endpoints {
 			e.Behave(standin.Failing)
 		}
 		a := s.send(s.boxes[0], http.MethodGet, "/safe/x", "", nil)
@@ -189,16 +189,16 @@
 }
 
 func TestEarlyAnswers(t *testing.T) {
-	convey.Convey("After an answer to half of a long body, nothing else follows where the rest is due", t, func() {
-		s := newSite(t, 1, plainEnds()[:1]...)
-		s.ends["p1"].Behave(standin.Early)
+	convey.Convey("After an early answer to a long body, no other request is sent in place of the rest of the body", t, func() {
+		s := newSite(t, 1, plainEndpoints()[:1]...)
+		s.endpoints["p1"].Behave(standin.Early)
 		body := strings.Repeat("b", 90_000)
 		for range 3 {
 			a := s.send(s.boxes[0], http.MethodPost, "/unsafe/x", body, nil)
 			convey.So(a.status, convey.ShouldEqual, http.StatusServiceUnavailable)
 		}
-		s.eventually("the connections have ended", func() bool { return len(s.ends["p1"].Late()) > 0 })
-		for _, late := range s.ends["p1"].Late() {
+		s.eventually("the connections have ended", func() bool { return len(s.endpoints["p1"].Late()) > 0 })
+		for _, late := range s.endpoints["p1"].Late() {
 			convey.So(strings.Trim(late, "b"), convey.ShouldBeEmpty)
 		}
 	})
@@ -206,12 +206,12 @@
 
 func TestRecovery(t *testing.T) {
 	convey.Convey("Boxes that were all replaced at once serve again, and find each other", t, func() {
-		s := newSite(t, 2, plainEnds()...)
+		s := newSite(t, 2, plainEndpoints()...)
 		for _, b := range s.boxes {
 			b.stop()
 		}
 		for _, b := range s.boxes {
-			<-b.ended
+			<-b.done
 		}
 		s.boxes = nil
 		for _, name := range []string{"box-1", "box-2", "box-3"} {
@@ -230,46 +230,46 @@
 
 func TestBrokenStreams(t *testing.T) {
 	convey.Convey("A stream that may not be resumed never looks whole when it was cut", t, func() {
-		s := newSite(t, 1, modelEnds()...)
-		s.ends["dec1"].Behave(standin.Cut)
-		s.ends["dec2"].Behave(standin.Cut)
+		s := newSite(t, 1, modelEndpoints()...)
+		s.endpoints["dec1"].Behave(standin.Cut)
+		s.endpoints["dec2"].Behave(standin.Cut)
 		a := s.send(s.boxes[0], http.MethodPost, "/stream/x", "prompt", nil)
 		convey.So(a.status, convey.ShouldEqual, http.StatusOK)
-		convey.So(a.whole, convey.ShouldBeFalse)
-		convey.So(stream(6), convey.ShouldStartWith, a.body)
+		convey.So(a.complete, convey.ShouldBeFalse)
+		convey.So(streamBody(6), convey.ShouldStartWith, a.body)
 		convey.So(s.runs(a.id), convey.ShouldEqual, 1)
 	})
 	convey.Convey("A resumable one goes on at another engine, with no event missing or doubled", t, func() {
-		s := newSite(t, 1, modelEnds()...)
-		s.ends["dec1"].Behave(standin.Cut)
+		s := newSite(t, 1, modelEndpoints()...)
+		s.endpoints["dec1"].Behave(standin.Cut)
 		for range 3 {
 			a := s.send(s.boxes[0], http.MethodPost, "/resumable/x", "prompt", nil)
-			convey.So(a.whole, convey.ShouldBeTrue)
-			convey.So(a.body, convey.ShouldEqual, stream(6))
+			convey.So(a.complete, convey.ShouldBeTrue)
+			convey.So(a.body, convey.ShouldEqual, streamBody(6))
 		}
 	})
 }
 
 func TestKeptResults(t *testing.T) {
-	convey.Convey("A prefill result is used again when the decode engine turned the request away, and freed at the end", t, func() {
-		s := newSite(t, 1, modelEnds()...)
-		s.ends["dec1"].Behave(standin.Full)
-		s.ends["dec2"].Behave(standin.Full)
+	convey.Convey("A prefill result is used again when the decode engine rejected the request, and freed at the end", t, func() {
+		s := newSite(t, 1, modelEndpoints()...)
+		s.endpoints["dec1"].Behave(standin.Full)
+		s.endpoints["dec2"].Behave(standin.Full)
 		a := s.send(s.boxes[0], http.MethodPost, "/stream/x", "prompt", nil)
 		convey.So(a.status, convey.ShouldEqual, http.StatusServiceUnavailable)
 		convey.So(a.header.Get("Retry-After"), convey.ShouldNotBeEmpty)
 		convey.So(s.runs(a.id), convey.ShouldEqual, 0)
-		convey.So(s.ends["pre1"].Sends(), convey.ShouldEqual, 1)
-		convey.So(len(s.ends["pre1"].Runs()), convey.ShouldEqual, 0)
-		s.eventually("the result is freed", func() bool { return s.ends["pre1"].Kept() == 0 })
+		convey.So(s.endpoints["pre1"].Sends(), convey.ShouldEqual, 1)
+		convey.So(len(s.endpoints["pre1"].Runs()), convey.ShouldEqual, 0)
+		s.eventually("the result is freed", func() bool { return s.endpoints["pre1"].Kept() == 0 })
 	})
 	convey.Convey("A prefill result is freed when the decode engine gave no answer: it may not have fetched it", t, func() {
-		s := newSite(t, 1, modelEnds()...)
-		s.ends["dec1"].Behave(standin.Lost)
-		s.ends["dec2"].Behave(standin.Lost)
+		s := newSite(t, 1, modelEndpoints()...)
+		s.endpoints["dec1"].Behave(standin.Lost)
+		s.endpoints["dec2"].Behave(standin.Lost)
 		a := s.send(s.boxes[0], http.MethodPost, "/stream/x", "prompt", nil)
 		convey.So(a.status, convey.ShouldEqual, http.StatusBadGateway)
-		s.eventually("the result is freed", func() bool { return s.ends["pre1"].Kept() == 0 })
+		s.eventually("the result is freed", func() bool { return s.endpoints["pre1"].Kept() == 0 })
 	})
 }
 
@@ -277,55 +277,55 @@
 	cases := map[string]struct {
 		ends []standin.EndpointConfig
 		path string
-		// hangs is the endpoint that does not answer, and spared one that gets
-		// nothing of the request.
+		// hangs is the endpoint that does not answer, and spared one that must not
+		// receive the request.
 		hangs, spared string
 	}{
-		"a plain request runs":    {ends: plainEnds()[:1], path: "/long/x", hangs: "p1"},
-		"the prompt is prefilled": {ends: modelEnds()[:2], path: "/stream/x", hangs: "pre1", spared: "dec1"},
-		"the stream is to begin":  {ends: modelEnds()[:2], path: "/stream/x", hangs: "dec1"},
+		"a plain request runs":    {ends: plainEndpoints()[:1], path: "/long/x", hangs: "p1"},
+		"the prompt is prefilled": {ends: modelEndpoints()[:2], path: "/stream/x", hangs: "pre1", spared: "dec1"},
+		"the stream is to begin":  {ends: modelEndpoints()[:2], path: "/stream/x", hangs: "dec1"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey("Work ends when the caller has gone", t, func() {
 				s := newSite(t, 1, c.ends...)
-				s.ends[c.hangs].Behave(standin.Hanging)
-				leaver := s.ask(s.boxes[0], c.path, "leaver")
-				s.eventually("the request is at the endpoint", func() bool { return s.ends[c.hangs].Sends() == 1 })
+				s.endpoints[c.hangs].Behave(standin.Hanging)
+				leaver := s.startRequest(s.boxes[0], c.path, "leaver")
+				s.eventually("the request is at the endpoint", func() bool { return s.endpoints[c.hangs].Sends() == 1 })
 				convey.So(leaver.Close(), convey.ShouldBeNil)
-				s.eventually("its work has ended", func() bool { return s.ends[c.hangs].Ended() == 1 })
+				s.eventually("its work has ended", func() bool { return s.endpoints[c.hangs].Ended() == 1 })
 				s.eventually("the box is done with it", func() bool { return s.boxes[0].Active() == 0 })
-				convey.So(s.ends[c.hangs].Sends(), convey.ShouldEqual, 1)
+				convey.So(s.endpoints[c.hangs].Sends(), convey.ShouldEqual, 1)
 				if c.spared != "" {
-					convey.So(s.ends[c.spared].Sends(), convey.ShouldEqual, 0)
+					convey.So(s.endpoints[c.spared].Sends(), convey.ShouldEqual, 0)
 				}
 			})
 		})
 	}
 	convey.Convey("A caller that leaves while it waits for a slot is never sent to an endpoint", t, func() {
 		const slots = 8
-		s := newSite(t, 1, plainEnds()[:1]...)
-		s.ends["p1"].Behave(standin.Hanging)
+		s := newSite(t, 1, plainEndpoints()[:1]...)
+		s.endpoints["p1"].Behave(standin.Hanging)
 		var busy []net.Conn
 		for i := range slots {
-			busy = append(busy, s.ask(s.boxes[0], "/long/x", fmt.Sprintf("busy-%d", i)))
+			busy = append(busy, s.startRequest(s.boxes[0], "/long/x", fmt.Sprintf("busy-%d", i)))
 		}
-		s.eventually("all slots are taken", func() bool { return s.ends["p1"].Sends() == slots })
-		leaver := s.ask(s.boxes[0], "/long/x", "leaver")
+		s.eventually("all slots are taken", func() bool { return s.endpoints["p1"].Sends() == slots })
+		leaver := s.startRequest(s.boxes[0], "/long/x", "leaver")
 		s.eventually("it waits", func() bool { return s.boxes[0].Active() == slots+1 })
 		convey.So(leaver.Close(), convey.ShouldBeNil)
 		s.eventually("the box is done with it", func() bool { return s.boxes[0].Active() == slots })
 		for _, c := range busy {
 			convey.So(c.Close(), convey.ShouldBeNil)
 		}
-		s.eventually("the others have ended", func() bool { return s.ends["p1"].Ended() == slots })
+		s.eventually("the others have ended", func() bool { return s.endpoints["p1"].Ended() == slots })
 		convey.So(s.runs("leaver"), convey.ShouldEqual, 0)
 	})
 }
 
 func TestConfigurationArrives(t *testing.T) {
-	convey.Convey("A box serves each newer configuration, over a lost history and deaf watches", t, func() {
-		s := newSite(t, 2, plainEnds()...)
+	convey.Convey("A box applies each newer configuration, even after a lost history and watches that deliver nothing", t, func() {
+		s := newSite(t, 2, plainEndpoints()...)
 		served := func(version int) func() bool {
 			return func() bool {
 				for _, b := range s.boxes {
@@ -353,8 +353,8 @@
 }
 
 func TestBoxWithoutConfiguration(t *testing.T) {
-	convey.Convey("A box that knows no configuration says 503, not 404, and is not ready", t, func() {
-		s := newSite(t, 0, plainEnds()...)
+	convey.Convey("A box without a configuration answers 503, not 404, and is not ready", t, func() {
+		s := newSite(t, 0, plainEndpoints()...)
 		s.store.SetFault(standin.Busy)
 		b := s.start("box-1")
 		a := s.send(b, http.MethodGet, "/safe/x", "", nil)
@@ -366,38 +366,38 @@
 		convey.So(s.send(b, http.MethodGet, "/safe/x", "", nil).status, convey.ShouldEqual, http.StatusOK)
 	})
 	convey.Convey("A box that starts while the store is down learns from another box", t, func() {
-		s := newSite(t, 1, plainEnds()...)
+		s := newSite(t, 1, plainEndpoints()...)
 		s.eventually("the box is listed", func() bool { return len(s.store.Names("boxes")) == 1 })
 		convey.So(s.store.Names("boxes"), convey.ShouldResemble, []string{"box-1"})
 	})
 }
 
 func TestDraining(t *testing.T) {
-	convey.Convey("An endpoint that says that it leaves gets nothing more", t, func() {
-		s := newSite(t, 1, plainEnds()[:2]...)
-		s.store.Put("servers", "p1", s.ends["p1"].Spec(true))
-		s.eventually("the box knows that it leaves", func() bool { return s.boxes[0].left("p1") })
-		before := s.ends["p1"].Sends()
+	convey.Convey("An endpoint that announces that it leaves receives no further requests", t, func() {
+		s := newSite(t, 1, plainEndpoints()[:2]...)
+		s.store.Put("servers", "p1", s.endpoints["p1"].Spec(true))
+		s.eventually("the box knows that it leaves", func() bool { return s.boxes[0].knowsUnusable("p1") })
+		before := s.endpoints["p1"].Sends()
 		for range 6 {
 			a := s.send(s.boxes[0], http.MethodGet, "/safe/x", "", nil)
 			convey.So(a.body, convey.ShouldEqual, "answer of p2")
 		}
-		convey.So(s.ends["p1"].Sends(), convey.ShouldEqual, before)
+		convey.So(s.endpoints["p1"].Sends(), convey.ShouldEqual, before)
 	})
-	convey.Convey("An address that another endpoint has now is found out and left alone", t, func() {
-		s := newSite(t, 1, plainEnds()[:2]...)
-		// The list says p3, but p2 has the address.
-		spec := s.ends["p2"].Spec(false)
+	convey.Convey("Requests for an endpoint whose address belongs to another one by now do not run there", t, func() {
+		s := newSite(t, 1, plainEndpoints()[:2]...)
+		// The store lists p3 at the address of p2.
+		spec := s.endpoints["p2"].Spec(false)
 		s.store.Put("servers", "p3", spec)
 		s.store.Delete("servers", "p1")
 		s.store.Delete("servers", "p2")
 		s.eventually("requests are refused", func() bool {
 			return s.send(s.boxes[0], http.MethodPost, "/unsafe/x", "", nil).status == http.StatusServiceUnavailable
 		})
-		before := len(s.ends["p2"].Runs())
+		before := len(s.endpoints["p2"].Runs())
 		a := s.send(s.boxes[0], http.MethodPost, "/unsafe/x", "", nil)
 		convey.So(a.status, convey.ShouldEqual, http.StatusServiceUnavailable)
-		convey.So(len(s.ends["p2"].Runs()), convey.ShouldEqual, before)
+		convey.So(len(s.endpoints["p2"].Runs()), convey.ShouldEqual, before)
 	})
 }
 
@@ -424,12 +424,12 @@
 		"unknown route":           {"GET /nowhere/x HTTP/1.1\r\nHost: " + host + "\r\n\r\n", http.StatusNotFound},
 		"prefix without its path": {"GET /safe HTTP/1.1\r\nHost: " + host + "\r\n\r\n", http.StatusNotFound},
 	}
-	s := newSite(t, 1, plainEnds()...)
+	s := newSite(t, 1, plainEndpoints()...)
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey(name, t, func() {
 				before := s.allRuns()
-				a := s.raw(s.boxes[0], c.text)
+				a := s.sendRaw(s.boxes[0], c.text)
 				convey.So(a.status, convey.ShouldEqual, c.status)
 				convey.So(s.allRuns()-before, convey.ShouldEqual, map[bool]int{true: 1}[c.status == http.StatusOK])
 			})
--- a/tests/routed/rules_test.go
+++ b/tests/routed/rules_test.go
@@ -12,8 +12,8 @@
 	"runridge.example/runridge/platform/standin"
 )
 
-// TestCallersOrderNoEngines sends each header that only a box may set.
-func TestCallersOrderNoEngines(t *testing.T) {
+// TestEngineHeadersOfCallersDropped sends each header that only a box may set on requests to engines.
+func TestEngineHeadersOfCallersDropped(t *testing.T) {
 	forged := map[string]string{
 		"X-Kv-Hold":        "hold-of-another",
 		"X-Pin-Ms":         "4000",
@@ -23,11 +23,11 @@
 		"X-Expect-Version": "7",
 	}
 	convey.Convey("No header that sets an engine's memory or weights reaches an engine as a caller sent it", t, func() {
-		s := newSite(t, 1, modelEnds()...)
+		s := newSite(t, 1, modelEndpoints()...)
 		for name, value := range forged {
 			a := s.send(s.boxes[0], http.MethodPost, "/stream/x", "prompt", map[string]string{name: value, "X-Other": "kept"})
 			convey.So(a.status, convey.ShouldEqual, http.StatusOK)
-			run := s.runOf(a.id)
+			run := s.runByID(a.id)
 			convey.So(run.Header.Get("X-Other"), convey.ShouldEqual, "kept")
 			convey.So(run.Header.Get(name), convey.ShouldNotEqual, value)
 		}
@@ -39,21 +39,21 @@
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey("While the platform's store is away, requests without a key are served and a leaving endpoint stays left", t, func() {
-				s := newSite(t, 1, plainEnds()[:2]...)
+				s := newSite(t, 1, plainEndpoints()[:2]...)
 				b := s.boxes[0]
-				s.store.Put("servers", "p1", s.ends["p1"].Spec(true))
-				s.eventually("the box knows that it leaves", func() bool { return b.left("p1") })
+				s.store.Put("servers", "p1", s.endpoints["p1"].Spec(true))
+				s.eventually("the box knows that it leaves", func() bool { return b.knowsUnusable("p1") })
 				s.store.SetFault(fault)
-				before := s.ends["p1"].Sends()
+				before := s.endpoints["p1"].Sends()
 				for _, path := range []string{"/safe/x", "/unsafe/x"} {
 					for range 10 {
 						a := s.send(b, http.MethodPost, path, "", nil)
 						convey.So(a.status, convey.ShouldEqual, http.StatusOK)
 						convey.So(a.body, convey.ShouldEqual, "answer of p2")
-						convey.So(a.whole, convey.ShouldBeTrue)
+						convey.So(a.complete, convey.ShouldBeTrue)
 					}
 				}
-				convey.So(s.ends["p1"].Sends(), convey.ShouldEqual, before)
+				convey.So(s.endpoints["p1"].Sends(), convey.ShouldEqual, before)
 			})
 		})
 	}
--- a/tests/routed/site_test.go
+++ b/tests/routed/site_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package routed tests whole boxes that serve routed services, against a
+// Package routed tests complete boxes that serve routed services, against a
 // stand-in for the objects platform.
 package routed
 
@@ -29,7 +29,7 @@
 	"runridge.example/runridge/state/pace"
 )
 
-// patience bounds every wait for a state in these tests.
+// patience is the time limit of every wait in these tests.
 const patience = 20 * time.Second
 
 const (
@@ -38,70 +38,70 @@
 	modelService = "model-service"
 )
 
-// site is a store, endpoints and boxes.
+// site is a test deployment: the platform's store, endpoints and boxes.
 type site struct {
-	t     *testing.T
-	slack float64
-	// cold bounds what cold endpoints get.
-	cold pace.Bound
-	// held is what boxes may hold for callers, in bytes; 0 is their own choice.
-	held int64
-	// later has the boxes hear each other as builds of the future.
-	later bool
-	// logs has what all boxes wrote.
-	logs  *journal
-	store *standin.Store
-	boxes []*running
-	ends  map[string]*standin.Endpoint
-	// zones are those of boxes that do not stand in zone-a.
+	t          *testing.T
+	retrySlack float64
+	// coldLimit limits the requests that boxes send to cold endpoints.
+	coldLimit pace.Bound
+	// heldLimit is how much boxes may buffer for callers, in bytes; 0 selects their default.
+	heldLimit int64
+	// laterBuild makes each box receive the messages of the others as a later build would send them.
+	laterBuild bool
+	// logs collects the log lines of all boxes.
+	logs      *logBuffer
+	store     *standin.Store
+	boxes     []*runningBox
+	endpoints map[string]*standin.Endpoint
+	// zones has the zone of each box that is not in zone-a, by the box's name.
 	zones map[string]string
 }
 
-// regions are those of the zones in these tests.
+// regions maps the zones of these tests to their regions.
 var regions = map[string]string{"zone-a": "north", "zone-b": "north", "zone-c": "south"}
 
-// running is a box that runs.
-type running struct {
+// runningBox is a started box with its addresses.
+type runningBox struct {
 	*box.Box
-	stop   context.CancelFunc
-	ended  chan struct{}
-	caller string
-	ready  string
+	stop       context.CancelFunc
+	done       chan struct{}
+	callerAddr string
+	readyAddr  string
 }
 
-// journal gathers what boxes write.
-type journal struct {
+// logBuffer is a buffer for the logs of boxes, safe for concurrent use.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  bytes.Buffer
 }
 
-// Write adds to it.
-func (j *journal) Write(p []byte) (int, error) {
+// Write appends p to the buffer.
+func (j *logBuffer) Write(p []byte) (int, error) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.text.Write(p)
 }
 
-// String is all that was written.
-func (j *journal) String() string {
+// String returns everything written so far.
+func (j *logBuffer) String() string {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	return j.text.String()
 }
 
-// amply is a retry slack that no test uses up.
-const amply = 500_000
+// ampleRetrySlack is a slack of the retry budget that no test uses up.
+const ampleRetrySlack = 500_000
 
-// newSite starts a store with a configuration, the endpoints and the boxes.
+// newSite starts a store with a configuration, the endpoints and the boxes, and waits until the boxes are ready.
 func newSite(t *testing.T, boxes int, endpoints ...standin.EndpointConfig) *site {
 	t.Helper()
-	return newSiteWith(t, amply, boxes, endpoints...)
+	return newSiteWith(t, ampleRetrySlack, boxes, endpoints...)
 }
 
-// newSiteWith starts a site whose boxes share a retry slack.
+// newSiteWith is newSite with another slack for the retry budget.
 func newSiteWith(t *testing.T, slack float64, boxes int, endpoints ...standin.EndpointConfig) *site {
 	t.Helper()
-	s := &site{t: t, slack: slack, logs: &journal{}, store: standin.NewStore(), ends: make(map[string]*standin.Endpoint)}
+	s := &site{t: t, retrySlack: slack, logs: &logBuffer{}, store: standin.NewStore(), endpoints: make(map[string]*standin.Endpoint)}
 	t.Cleanup(s.close)
 	s.store.Put("config", "main", configuration(1))
 	for _, cfg := range endpoints {
@@ -120,59 +120,59 @@
 	for _, b := range s.boxes {
 		b.stop()
 	}
-	for _, e := range s.ends {
+	for _, e := range s.endpoints {
 		e.Close()
 	}
 	for _, b := range s.boxes {
-		<-b.ended
+		<-b.done
 	}
 	s.store.Close()
 }
 
 func (s *site) add(cfg standin.EndpointConfig) { s.announce(standin.NewEndpoint(cfg)) }
 
-// announce puts an endpoint on the store's list.
+// announce adds an endpoint to the site and registers it in the store.
 func (s *site) announce(e *standin.Endpoint) {
-	s.ends[e.ID] = e
+	s.endpoints[e.ID] = e
 	s.store.Put("servers", e.ID, e.Spec(false))
 }
 
-// start runs a box on ports of its own.
-func (s *site) start(name string) *running {
+// start starts a box that reads the site's store.
+func (s *site) start(name string) *runningBox {
 	s.t.Helper()
 	return s.startAt(name, s.store.Address())
 }
 
-// startAt runs a box that reaches the store at an address.
-func (s *site) startAt(name, store string) *running {
+// startAt starts a box that reaches the store at the given address.
+func (s *site) startAt(name, store string) *runningBox {
 	s.t.Helper()
 	names := platform.Names()
 	logger, err := log.New(log.Config{Level: "trace", Output: s.logs})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	way := s.newLaterWay()
+	way := s.newLaterBuildProxy()
 	b, err := box.New(setting.Box{
 		Name: name, Zone: cmp.Or(s.zones[name], "zone-a"), Regions: regions,
 		BoxListen: "127.0.0.1:0", BoxAdvertise: way.address(), OperatorListen: "127.0.0.1:0",
 		Platform: store, PlatformProtocol: setting.PlatformObjects, StopSeconds: 3,
 		Relay: setting.Relay{
 			Listen: "127.0.0.1:0", ReadyListen: "127.0.0.1:0",
-			RetryRatio: 0.2, RetrySlack: s.slack, RetryWindowSeconds: 10,
+			RetryRatio: 0.2, RetrySlack: s.retrySlack, RetryWindowSeconds: 10,
 			QuotaOverage: 0.1, QuotaSlack: 1000, QuotaWindowSeconds: 8,
 			Stages: setting.StagesPlanned, PrefillPart: 0.25, LeaseMS: 400, ThawMS: 50,
-			ColdOverage: s.cold.Overage, ColdSlack: s.cold.Slack,
+			ColdOverage: s.coldLimit.Overage, ColdSlack: s.coldLimit.Slack,
 		},
-	}, box.Options{Log: logger, Platform: platform.New(store), Names: &names, HeldBytes: s.held})
+	}, box.Options{Log: logger, Platform: platform.New(store), Names: &names, HeldBytes: s.heldLimit})
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	way.serve(b.BoxAddr())
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{Box: b, stop: stop, ended: make(chan struct{}), caller: b.RelayAddr(), ready: b.ReadyAddr()}
+	r := &runningBox{Box: b, stop: stop, done: make(chan struct{}), callerAddr: b.RelayAddr(), readyAddr: b.ReadyAddr()}
 	s.boxes = append(s.boxes, r)
 	go func() {
-		defer close(r.ended)
+		defer close(r.done)
 		if err := b.Run(ctx); err != nil {
 			s.t.Errorf("box %s: %v", name, err)
 		}
@@ -180,26 +180,27 @@
 	return r
 }
 
-// eventually waits for a state.
+// eventually waits until holds returns true and fails the test after patience.
 func (s *site) eventually(what string, holds func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(patience)
 	for !holds() {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("did not come about: %s", what)
+			s.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// left says whether a box knows that an endpoint gets nothing more. One answer
-// from another endpoint does not show it: they take turns.
-func (b *running) left(id string) bool {
+// knowsUnusable reports whether a box knows that an endpoint must not receive further requests. One
+// answer from another endpoint does not show it, since a box rotates among endpoints.
+func (b *runningBox) knowsUnusable(id string) bool {
 	word, known := b.Directory().Status(id)
 	return known && !word.Usable()
 }
 
-// configuration has one route of each kind; later versions add a route.
+// configuration returns the configuration with one route of each kind; each version after
+// the first adds a route.
 func configuration(version int) map[string]any {
 	route := func(name, kind, service string, more map[string]any) map[string]any {
 		out := map[string]any{
@@ -237,7 +238,7 @@
 	}
 }
 
-func plainEnds() []standin.EndpointConfig {
+func plainEndpoints() []standin.EndpointConfig {
 	return []standin.EndpointConfig{
 		{ID: "p1", Service: plainService, Zone: "zone-a"},
 		{ID: "p2", Service: plainService, Zone: "zone-a"},
@@ -245,7 +246,7 @@
 	}
 }
 
-func modelEnds() []standin.EndpointConfig {
+func modelEndpoints() []standin.EndpointConfig {
 	return []standin.EndpointConfig{
 		{ID: "pre1", Service: modelService, Zone: "zone-a", Stage: "prefill", Events: 6},
 		{ID: "dec1", Service: modelService, Zone: "zone-a", Stage: "decode", Events: 6},
@@ -255,21 +256,21 @@
 
 var ids atomic.Int64
 
-// answer is what a caller got.
+// answer is what a caller received; its status is 0 if there was no answer.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// whole says that the answer came to the end that its framing asks for.
-	whole bool
-	id    string
+	// complete reports that the body was read to the end that its framing declares.
+	complete bool
+	id       string
 }
 
 // send sends a request on a new connection.
-func (s *site) send(b *running, method, path, body string, header map[string]string) answer {
+func (s *site) send(b *runningBox, method, path, body string, header map[string]string) answer {
 	s.t.Helper()
 	id := fmt.Sprintf("request-%d", ids.Add(1))
-	req, err := http.NewRequest(method, "http://"+b.caller+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+b.callerAddr+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -287,13 +288,13 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(data), whole: err == nil, id: id}
+	return answer{status: resp.StatusCode, header: resp.Header, body: string(data), complete: err == nil, id: id}
 }
 
-// ask sends a request on a new connection and does not wait for the answer.
-func (s *site) ask(b *running, path, id string) net.Conn {
+// startRequest sends a request on a new connection without waiting for the answer.
+func (s *site) startRequest(b *runningBox, path, id string) net.Conn {
 	s.t.Helper()
-	c, err := net.Dial("tcp", b.caller)
+	c, err := net.Dial("tcp", b.callerAddr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -304,10 +305,10 @@
 	return c
 }
 
-// raw sends bytes as they are and reads one answer.
-func (s *site) raw(b *running, text string) answer {
+// sendRaw sends text unchanged on a new connection and reads one answer.
+func (s *site) sendRaw(b *runningBox, text string) answer {
 	s.t.Helper()
-	c, err := net.Dial("tcp", b.caller)
+	c, err := net.Dial("tcp", b.callerAddr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -322,13 +323,13 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(data), whole: err == nil}
+	return answer{status: resp.StatusCode, header: resp.Header, body: string(data), complete: err == nil}
 }
 
-// runs counts the runs of a request on all endpoints.
+// runs returns how many times all endpoints together have run a request.
 func (s *site) runs(id string) int {
 	count := 0
-	for _, e := range s.ends {
+	for _, e := range s.endpoints {
 		for _, r := range e.Runs() {
 			if r.ID == id {
 				count++
@@ -338,10 +339,10 @@
 	return count
 }
 
-// allRuns counts the runs on all endpoints.
+// allRuns returns the number of runs on all endpoints together.
 func (s *site) allRuns() int {
 	count := 0
-	for _, e := range s.ends {
+	for _, e := range s.endpoints {
 		count += len(e.Runs())
 	}
 	return count
--- a/tests/routed/slow_test.go
+++ b/tests/routed/slow_test.go
@@ -22,26 +22,26 @@
 )
 
 const (
-	// heldBytes is what the box of these tests may hold for callers.
+	// heldBytes is how much the box of these tests may buffer for callers, in bytes.
 	heldBytes = 4 << 20
-	// slowCallers is how many slow callers there are at once: without a bound they have a
-	// box hold ten times what it may.
+	// slowCallers is the number of concurrent slow callers: without a limit they make a
+	// box buffer ten times heldBytes.
 	slowCallers = 400
-	// connectionBytes is what one connection costs this process on all its sides beside
-	// what is held: buffers, stacks and the records of its request.
+	// connectionBytes is what one connection costs this process in bytes, beside what the box
+	// buffers: socket buffers, stacks and the records of its request, on both sides.
 	connectionBytes = 48 << 10
-	// otherCallers is how many others come meanwhile, with bodies of otherBody bytes.
+	// otherCallers is the number of other requests in the meantime, with bodies of otherBody bytes.
 	otherCallers = 20
 	otherBody    = 5000
 	// longBody is the longest body that the configuration allows, in bytes.
 	longBody = 100_000
-	// longAnswer is an answer that is read whole before it is passed on, in bytes.
+	// longAnswer is the size of an answer that the box reads whole before it forwards it, in bytes.
 	longAnswer = 200_000
-	// smallWindow is the receive buffer of a caller who does not read, in bytes.
-	smallWindow = 4 << 10
+	// smallReadBuffer is the receive buffer of a caller that does not read, in bytes.
+	smallReadBuffer = 4 << 10
 )
 
-// liveHeap is the bytes of the heap that are in use, after a collection.
+// liveHeap runs a garbage collection and returns the bytes of allocated heap objects.
 func liveHeap() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -50,9 +50,9 @@
 }
 
 // dial connects to a box as a caller.
-func (s *site) dial(b *running) *net.TCPConn {
+func (s *site) dial(b *runningBox) *net.TCPConn {
 	s.t.Helper()
-	c, err := net.Dial("tcp", b.caller)
+	c, err := net.Dial("tcp", b.callerAddr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -60,30 +60,32 @@
 	return c.(*net.TCPConn)
 }
 
-// dialSmall connects as a caller whose machine takes in little that it does not read.
-func (s *site) dialSmall(b *running) *net.TCPConn {
+// dialSmall connects as a caller with a small receive buffer.
+func (s *site) dialSmall(b *runningBox) *net.TCPConn {
 	s.t.Helper()
 	c := s.dial(b)
-	if err := c.SetReadBuffer(smallWindow); err != nil {
+	if err := c.SetReadBuffer(smallReadBuffer); err != nil {
 		s.t.Fatal(err)
 	}
 	return c
 }
 
-// put sends a request with a body, all of it but for the last bytes.
-func (s *site) put(c net.Conn, path string, body, lack int) string {
+// sendPartial sends a request with a body of the given length but withholds the last missing bytes
+// of it, and returns the id of the request.
+func (s *site) sendPartial(c net.Conn, path string, body, missing int) string {
 	s.t.Helper()
 	id := fmt.Sprintf("request-%d", ids.Add(1))
 	_, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\nX-Token-Usage: 100,20\r\nContent-Length: %d\r\n\r\n%s",
-		path, host, id, body, strings.Repeat("b", body-lack))
+		path, host, id, body, strings.Repeat("b", body-missing))
 	if err != nil {
 		s.t.Logf("request %s was not taken whole: %v", id, err)
 	}
 	return id
 }
 
-// othersAreServed sends requests of others, who come again when they are told to.
-func (s *site) othersAreServed(b *running) {
+// checkOthersServed sends the requests of other callers, retries those that are refused, and fails
+// the test unless all succeed.
+func (s *site) checkOthersServed(b *runningBox) {
 	s.t.Helper()
 	body := strings.Repeat("o", otherBody)
 	for range otherCallers {
@@ -93,13 +95,14 @@
 				time.Sleep(100 * time.Millisecond)
 				return false
 			}
-			return got.status == http.StatusOK && got.whole
+			return got.status == http.StatusOK && got.complete
 		})
 	}
 }
 
-// heldWithin checks what the box holds and held at the most, and the heap of this process.
-func (s *site) heldWithin(b *running, before int64) {
+// checkHeld checks that the box's peak of buffered bytes and the growth of this process's heap
+// since before stay within their limits.
+func (s *site) checkHeld(b *runningBox, before int64) {
 	s.t.Helper()
 	grown := liveHeap() - before
 	told := b.Status().Held
@@ -111,25 +114,25 @@
 func heldSite(t *testing.T, endpoints ...standin.EndpointConfig) *site {
 	t.Helper()
 	s := newSite(t, 0, endpoints...)
-	s.held = heldBytes
+	s.heldLimit = heldBytes
 	b := s.start("box-1")
 	s.eventually("the box is ready", func() bool { return b.Ready() })
 	return s
 }
 
 func TestUploadsThatStop(t *testing.T) {
-	convey.Convey("Bodies that stop one byte short take no more than the box's bound, and others are served", t, func() {
-		s := heldSite(t, plainEnds()...)
+	convey.Convey("Bodies that stop one byte short take no more memory than the box's limit, and others are served", t, func() {
+		s := heldSite(t, plainEndpoints()...)
 		b := s.boxes[0]
 		before := liveHeap()
 		var stopped []net.Conn
 		for range slowCallers {
 			c := s.dial(b)
-			s.put(c, "/unsafe/a", longBody, 1)
+			s.sendPartial(c, "/unsafe/a", longBody, 1)
 			stopped = append(stopped, c)
 		}
-		s.othersAreServed(b)
-		s.heldWithin(b, before)
+		s.checkOthersServed(b)
+		s.checkHeld(b, before)
 		runs := s.allRuns()
 		convey.So(runs, convey.ShouldEqual, otherCallers)
 		for _, c := range stopped {
@@ -140,30 +143,30 @@
 }
 
 func TestCallersThatReadNothing(t *testing.T) {
-	convey.Convey("Answers that nobody reads take no more than the box's bound, and others are served", t, func() {
-		ends := plainEnds()
+	convey.Convey("Answers that nobody reads take no more memory than the box's limit, and others are served", t, func() {
+		ends := plainEndpoints()
 		for i := range ends {
 			ends[i].Bytes = longAnswer
 		}
 		s := heldSite(t, ends...)
 		b := s.boxes[0]
 		before := liveHeap()
-		var deaf []net.Conn
+		var unread []net.Conn
 		for range slowCallers {
 			c := s.dialSmall(b)
-			s.put(c, "/safe/a", 1, 0)
-			deaf = append(deaf, c)
+			s.sendPartial(c, "/safe/a", 1, 0)
+			unread = append(unread, c)
 		}
-		s.othersAreServed(b)
-		s.heldWithin(b, before)
-		for _, c := range deaf {
+		s.checkOthersServed(b)
+		s.checkHeld(b, before)
+		for _, c := range unread {
 			_ = c.Close()
 		}
 		s.eventually("nothing is held any more", func() bool { return b.Status().Held.Used == 0 })
 	})
 }
 
-// endedAs says whether the box has ended a request with an outcome.
+// endedAs reports whether the box has logged the end of a request with this outcome.
 func (s *site) endedAs(id, outcome string) bool {
 	for _, line := range strings.Split(s.logs.String(), "\n") {
 		if strings.Contains(line, "msg=request_ended") && strings.Contains(line, "outcome="+outcome) && strings.Contains(line, id+" ") {
@@ -174,21 +177,21 @@
 }
 
 func TestSlowReader(t *testing.T) {
-	convey.Convey("A caller who reads slowly keeps no endpoint, and gets its answer whole", t, func() {
+	convey.Convey("A caller that reads slowly occupies no endpoint, and receives its complete answer", t, func() {
 		const (
 			events, eventBytes = 45, 2000
-			sip                = 1000
+			readSize           = 1000
 		)
 		s := heldSite(t, standin.EndpointConfig{
 			ID: "dec1", Service: modelService, Zone: "zone-a", Stage: "decode", Events: events, Bytes: eventBytes,
 		})
 		b := s.boxes[0]
 		c := s.dialSmall(b)
-		id := s.put(c, "/stream/a", 1, 0)
+		id := s.sendPartial(c, "/stream/a", 1, 0)
 		s.eventually("the request is over though nothing was read", func() bool { return s.endedAs(id, "answered") })
 		convey.So(b.Active(), convey.ShouldEqual, 1)
 
-		resp, err := http.ReadResponse(bufio.NewReaderSize(c, sip), nil)
+		resp, err := http.ReadResponse(bufio.NewReaderSize(c, readSize), nil)
 		convey.So(err, convey.ShouldBeNil)
 		text, err := io.ReadAll(resp.Body)
 		convey.So(err, convey.ShouldBeNil)
@@ -198,7 +201,7 @@
 }
 
 func TestEndpointCutsUnread(t *testing.T) {
-	convey.Convey("An endpoint that cuts an answer off since its caller does not read has not ended", t, func() {
+	convey.Convey("An endpoint that cuts off an answer because the caller does not read is not taken for crashed", t, func() {
 		const (
 			events, eventBytes = 300, 64 << 10
 			patience           = 1200 * time.Millisecond
@@ -213,10 +216,10 @@
 		s := heldSite(t, ends...)
 		b := s.boxes[0]
 		c := s.dial(b)
-		id := s.put(c, "/resumable/a", 1, 0)
+		id := s.sendPartial(c, "/resumable/a", 1, 0)
 		cut := func() int {
 			n := 0
-			for _, e := range s.ends {
+			for _, e := range s.endpoints {
 				n += e.CutOff()
 			}
 			return n
--- a/tests/routed/stages_test.go
+++ b/tests/routed/stages_test.go
@@ -19,7 +19,7 @@
 	"runridge.example/runridge/transport/upstream"
 )
 
-// threePrefills are four engines of which three prefill.
+// threePrefills returns four engines, three of them in the prefill stage.
 func threePrefills() []standin.EndpointConfig {
 	var out []standin.EndpointConfig
 	for i := range 4 {
@@ -32,10 +32,10 @@
 	return out
 }
 
-// ordered lists the engines that orders reached.
-func (s *site) ordered() []string {
+// orderedEngines returns the ids of the engines that have received orders.
+func (s *site) orderedEngines() []string {
 	var out []string
-	for id, e := range s.ends {
+	for id, e := range s.endpoints {
 		if len(e.Orders()) > 0 {
 			out = append(out, id)
 		}
@@ -43,35 +43,35 @@
 	return out
 }
 
-// TestStagesChange serves a service most of whose engines prefill, where a fourth is
-// set to: the others are ordered to decode, and requests go on.
+// TestStagesChange starts with three of four engines in the prefill stage, while the settings ask
+// for a quarter: the surplus engines must be ordered to decode while requests are served.
 func TestStagesChange(t *testing.T) {
-	convey.Convey("Engines beyond the part that prefills decode, by one order each", t, func() {
+	convey.Convey("Prefill engines beyond the configured share are switched to decode by one order each", t, func() {
 		s := newSite(t, 2, threePrefills()...)
 		s.eventually("two engines were ordered", func() bool {
 			a := s.send(s.boxes[0], http.MethodPost, "/stream/x", "prompt", nil)
 			convey.So(a.status, convey.ShouldEqual, http.StatusOK)
-			return len(s.ordered()) == 2
+			return len(s.orderedEngines()) == 2
 		})
-		for _, id := range s.ordered() {
-			orders := s.ends[id].Orders()
+		for _, id := range s.orderedEngines() {
+			orders := s.endpoints[id].Orders()
 			convey.So(orders, convey.ShouldHaveLength, 1)
 			convey.So(orders[0].Stage, convey.ShouldEqual, "decode")
 			convey.So(orders[0].Holder, convey.ShouldStartWith, "box-")
 			convey.So(orders[0].Fence, convey.ShouldBeGreaterThan, 0)
-			s.store.Put("servers", id, s.ends[id].Spec(false))
+			s.store.Put("servers", id, s.endpoints[id].Spec(false))
 		}
-		// The engines that changed decode now.
+		// The engines that changed their stage decode now.
 		s.eventually("one of them runs a request", func() bool {
 			a := s.send(s.boxes[1], http.MethodPost, "/stream/x", "prompt", nil)
 			convey.So(a.status, convey.ShouldEqual, http.StatusOK)
-			return len(s.ends[s.ordered()[0]].Runs()) > 0
+			return len(s.endpoints[s.orderedEngines()[0]].Runs()) > 0
 		})
 		convey.So(s.store.Names("leases"), convey.ShouldHaveLength, 2)
 	})
 }
 
-// TestLeasesAndOrders goes over the wire to the store and an engine.
+// TestLeasesAndOrders uses leases and orders over the wire, against the store and an engine.
 func TestLeasesAndOrders(t *testing.T) {
 	ctx := context.Background()
 	convey.Convey("A lease is written by compare-and-set", t, func() {
--- a/tests/routed/two_regions_test.go
+++ b/tests/routed/two_regions_test.go
@@ -13,9 +13,9 @@
 	"runridge.example/runridge/transport/operatorhttp"
 )
 
-// homesNear says whether a box sees the home of each group of a service in the
-// group's region.
-func homesNear(homes []operatorhttp.GroupHome, groups int) bool {
+// homesAreLocal reports whether there are this many groups and the home of each one
+// is in the group's region.
+func homesAreLocal(homes []operatorhttp.GroupHome, groups int) bool {
 	near := 0
 	for _, g := range homes {
 		if g.Region != "" && g.HomeRegion == g.Region {
@@ -25,8 +25,8 @@
 	return near == groups && len(homes) == groups
 }
 
-// servedBy says whether the requests of a box are all answered by one endpoint.
-func (s *site) servedBy(b *running, endpoint string) bool {
+// servedBy reports whether one endpoint answers all of six requests to a box.
+func (s *site) servedBy(b *runningBox, endpoint string) bool {
 	for range 6 {
 		if s.send(b, http.MethodGet, "/safe/x", "", nil).body != "answer of "+endpoint {
 			return false
@@ -45,16 +45,16 @@
 		north, south := s.start("box-north"), s.start("box-south")
 		for _, b := range s.boxes {
 			s.eventually("homes are in the regions of their groups", func() bool {
-				return b.Ready() && homesNear(b.Status().Homes, 2)
+				return b.Ready() && homesAreLocal(b.Status().Homes, 2)
 			})
 		}
 		convey.Convey("each region serves its own callers, the other one takes over, and gives back", func() {
 			convey.So(s.servedBy(north, "n1"), convey.ShouldBeTrue)
 			convey.So(s.servedBy(south, "s1"), convey.ShouldBeTrue)
-			s.store.Put("servers", "n1", s.ends["n1"].Spec(true))
-			s.eventually("the box knows that it leaves", func() bool { return north.left("n1") })
+			s.store.Put("servers", "n1", s.endpoints["n1"].Spec(true))
+			s.eventually("the box knows that it leaves", func() bool { return north.knowsUnusable("n1") })
 			convey.So(s.servedBy(north, "s1"), convey.ShouldBeTrue)
-			s.store.Put("servers", "n1", s.ends["n1"].Spec(false))
+			s.store.Put("servers", "n1", s.endpoints["n1"].Spec(false))
 			s.eventually("the region serves its callers again", func() bool { return s.servedBy(north, "n1") })
 			convey.So(s.servedBy(south, "s1"), convey.ShouldBeTrue)
 			convey.So(s.logs.String(), convey.ShouldContainSubstring, "distance=other_region")
