--- a/fakes/engine/engine.go
+++ b/fakes/engine/engine.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package engine is a small stand-in for a model engine: it takes the time
-// that a real one would, holds memory as a real one would, and fails as a real
-// one does. What it counts is the oracle of tests and measurements.
+// Package engine is a small stand-in for a model engine: it simulates the
+// timing, the memory use and the failures of a real one. Its counts are the
+// oracle of tests and measurements.
 package engine
 
 import (
@@ -22,53 +22,52 @@
 	"runridge.example/runridge/tests/arrival"
 )
 
-// Config sets an engine's speeds and sizes.
+// Config describes an engine's speed and capacity.
 type Config struct {
 	Name string
 	Zone string
 	// PrefillRate is in tokens per second.
 	PrefillRate float64
-	// StepBase and StepPer give a decode step's time.
+	// A decode step takes StepBase plus StepPer for each running answer.
 	StepBase, StepPer time.Duration
 	Slots             int
 	KVTokens          int
 	KVBytesPerToken   int
-	// CacheTokens bounds the prefix cache.
+	// CacheTokens is the capacity of the prefix cache.
 	CacheTokens int
-	// ResultTTL is how long a prefill result is kept.
+	// ResultTTL is how long a prefill result is kept; 0 selects 4 s.
 	ResultTTL time.Duration
-	// BytesPerToken tells a prompt's length.
+	// BytesPerToken converts the bytes of a prompt to tokens; 0 selects 4.
 	BytesPerToken float64
-	// ReportLag is how old a load report is.
+	// ReportLag is the age of load reports.
 	ReportLag time.Duration
-	// GapEvery loses every n-th page of cache events; 0 loses none.
+	// GapEvery makes every n-th page of cache events a gap; 0 none.
 	GapEvery int
-	// EndsAt, if not empty, is what ends the engine when it is to read a prompt with that
-	// in it.
-	EndsAt string
-	Links  *Links
-	Ledger *Ledger
+	// CrashPrompt, if not empty, crashes the engine when it is to prefill a prompt that contains it.
+	CrashPrompt string
+	Links       *Links
+	Ledger      *Ledger
 }
 
 const (
-	// pieceTokens is how much prefill is done between two looks at the queue.
-	pieceTokens = 2000
-	// localPiece is how much prefill a decode engine does between two steps.
-	localPiece = 512
-	// maxQueue bounds what waits in the engine itself.
-	maxQueue = 512
-	// tombstoneTime is how long a released attempt is barred.
+	// prefillChunk is how many tokens are prefilled before the queue is checked again.
+	prefillChunk = 2000
+	// localPrefillChunk is how many tokens a decode engine prefills in each decode step.
+	localPrefillChunk = 512
+	// maxQueuedPrefills is the maximum number of prefills queued in the engine.
+	maxQueuedPrefills = 512
+	// tombstoneTime is how long orders for a released attempt are rejected.
 	tombstoneTime = 30 * time.Second
-	// tokenQueue bounds the tokens that wait for one stream's reader.
+	// tokenQueue is the maximum number of tokens queued for the reader of one answer.
 	tokenQueue = 256
 )
 
-// hold is what the engine keeps for an attempt.
+// hold is the memory, in tokens, and the slot that the engine keeps for an attempt.
 type hold struct {
 	attempt string
 	tokens  int
 	since   time.Time
-	// result is true for a finished prefill that waits to be fetched.
+	// result is set for a finished prefill until its decode begins on this engine; it expires.
 	result  bool
 	expires time.Time
 	prompt  string
@@ -76,33 +75,33 @@
 	slot    bool
 }
 
-// Engine is the stand-in.
+// Engine is the stand-in of one model engine. Its methods may be called while it serves.
 type Engine struct {
 	cfg Config
 
-	mutex     sync.Mutex
-	holds     map[string]*hold
-	kvUsed    int
-	slotsUsed int
-	released  map[string]time.Time
-	prefills  []*prefillJob
-	running   []*decodeJob
-	locals    []*prefillJob
-	freed     chan struct{}
-	wake      chan struct{}
-	wakeStep  chan struct{}
-	cache     *cache
-	reports   []report
-	fence     uint64
-	orders    int
-	frozen    chan struct{}
-	accepted  time.Time
-	pages     int
-	crashes   int
+	mutex         sync.Mutex
+	holds         map[string]*hold
+	kvUsed        int
+	slotsUsed     int
+	released      map[string]time.Time
+	prefills      []*prefillJob
+	running       []*decodeJob
+	localPrefills []*prefillJob
+	freed         chan struct{}
+	wakePrefill   chan struct{}
+	wakeStep      chan struct{}
+	cache         *cache
+	loadReports   []loadReport
+	fence         uint64
+	orders        int
+	frozen        chan struct{}
+	lastAccepted  time.Time
+	eventPages    int
+	crashes       int
 
 	limit   atomic.Pointer[float64]
 	leaving atomic.Bool
-	// rest is what the engine asks for with all that it turns away, in nanoseconds.
+	// rest is the rest that the engine asks for while it rejects requests, in nanoseconds; 0 is none.
 	rest     atomic.Int64
 	arrivals arrival.Log
 
@@ -111,12 +110,12 @@
 	cancel context.CancelFunc
 }
 
-type report struct {
+type loadReport struct {
 	at   time.Time
 	load engineapi.Load
 }
 
-// New makes an engine; Start opens it.
+// New returns an engine that serves once it is started.
 func New(cfg Config) *Engine {
 	if cfg.BytesPerToken <= 0 {
 		cfg.BytesPerToken = 4
@@ -135,21 +134,21 @@
 	return e
 }
 
-// reset empties the engine as a restart does.
+// reset discards the engine's state as a restart does.
 func (e *Engine) reset() {
 	e.holds = make(map[string]*hold)
 	e.released = make(map[string]time.Time)
-	e.prefills, e.running, e.locals = nil, nil, nil
+	e.prefills, e.running, e.localPrefills = nil, nil, nil
 	e.kvUsed, e.slotsUsed = 0, 0
 	e.freed = make(chan struct{})
-	e.wake = make(chan struct{}, 1)
+	e.wakePrefill = make(chan struct{}, 1)
 	e.wakeStep = make(chan struct{}, 1)
 	e.cache = newCache(e.cfg.CacheTokens)
-	e.reports = nil
+	e.loadReports = nil
 }
 
-// Start listens on a loopback address, the one it had if it was started
-// before, and serves until the context ends or Kill is called.
+// Start listens on a loopback address, the same as before if it was started
+// already, and serves until the context ends or Kill is called.
 func (e *Engine) Start(ctx context.Context) error {
 	address := e.addr
 	if address == "" {
@@ -165,7 +164,7 @@
 	e.reset()
 	e.cancel = cancel
 	e.http = &http.Server{Handler: e.routes(), ReadHeaderTimeout: time.Second}
-	server, wake, wakeStep := e.http, e.wake, e.wakeStep
+	server, wake, wakeStep := e.http, e.wakePrefill, e.wakeStep
 	e.mutex.Unlock()
 	e.cfg.Links.register(e.addr, e)
 	go func() { _ = server.Serve(l) }()
@@ -176,7 +175,7 @@
 	return nil
 }
 
-// Kill ends the engine at once: all connections break and all memory is lost.
+// Kill crashes the engine: all connections break and all its memory is lost.
 func (e *Engine) Kill() {
 	e.mutex.Lock()
 	cancel, server := e.cancel, e.http
@@ -188,10 +187,10 @@
 	e.mutex.Unlock()
 }
 
-// endAt ends the engine in the middle of an order if it is to read what ends it. Then it
-// does not return.
-func (e *Engine) endAt(prompt string) {
-	if e.cfg.EndsAt == "" || !strings.Contains(prompt, e.cfg.EndsAt) {
+// crashOn crashes the engine and aborts the request if the prompt contains CrashPrompt; otherwise it
+// does nothing.
+func (e *Engine) crashOn(prompt string) {
+	if e.cfg.CrashPrompt == "" || !strings.Contains(prompt, e.cfg.CrashPrompt) {
 		return
 	}
 	e.mutex.Lock()
@@ -201,27 +200,27 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Crashes is how often a prompt has ended the engine.
+// Crashes returns how many times a prompt has crashed the engine.
 func (e *Engine) Crashes() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.crashes
 }
 
-// Addr is the IP number and port.
+// Addr returns the address as IP:port.
 func (e *Engine) Addr() string { return e.addr }
 
-// Name is the engine's name.
+// Name returns the engine's name.
 func (e *Engine) Name() string { return e.cfg.Name }
 
-// Held is the number of attempts that memory is kept for.
+// Held returns the number of attempts with a hold.
 func (e *Engine) Held() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.holds)
 }
 
-// HeldAttempts lists the attempts that memory is kept for.
+// HeldAttempts returns the ids of the attempts with a hold, in no order.
 func (e *Engine) HeldAttempts() []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -232,14 +231,14 @@
 	return out
 }
 
-// LastAccepted is when the engine last took an order for new work.
+// LastAccepted returns when the engine last accepted new work.
 func (e *Engine) LastAccepted() time.Time {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.accepted
+	return e.lastAccepted
 }
 
-// Orders is the number of fenced orders taken.
+// Orders returns the number of fenced orders carried out.
 func (e *Engine) Orders() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -250,13 +249,13 @@
 	return max(int(float64(len(prompt)+len(emitted))/e.cfg.BytesPerToken), 1)
 }
 
-// barred says whether the attempt was released before. The mutex is held.
-func (e *Engine) barred(attempt string) bool {
+// isReleased reports whether the attempt was released before, so that its orders are rejected. The mutex is held.
+func (e *Engine) isReleased(attempt string) bool {
 	_, ok := e.released[attempt]
 	return ok
 }
 
-// drop frees an attempt. The mutex is held.
+// drop frees the hold of an attempt, if it has one. The mutex is held.
 func (e *Engine) drop(attempt string) {
 	h, ok := e.holds[attempt]
 	if !ok {
@@ -271,7 +270,7 @@
 	e.freed = make(chan struct{})
 }
 
-// release frees an attempt and bars its later orders.
+// release frees the hold of an attempt, stops its work, and leaves a tombstone that rejects its later orders.
 func (e *Engine) release(attempt string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -289,10 +288,10 @@
 	}
 }
 
-// expireLoop drops prefill results that nobody fetched and forgets old
-// tombstones, and records load reports.
+// expireLoop periodically drops expired prefill results and tombstones and
+// records load reports.
 func (e *Engine) expireLoop(ctx context.Context) {
-	ticker := time.NewTicker(expireEvery)
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -304,7 +303,7 @@
 	}
 }
 
-const expireEvery = 20 * time.Millisecond
+const expireInterval = 20 * time.Millisecond
 
 func (e *Engine) expire(now time.Time) {
 	e.mutex.Lock()
@@ -320,14 +319,14 @@
 		}
 	}
 	load := engineapi.Load{Held: e.slotsUsed, KVTokens: e.kvUsed}
-	e.reports = append(e.reports, report{at: now, load: load})
-	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.cfg.ReportLag {
-		e.reports = e.reports[1:]
+	e.loadReports = append(e.loadReports, loadReport{at: now, load: load})
+	for len(e.loadReports) > 1 && now.Sub(e.loadReports[1].at) >= e.cfg.ReportLag {
+		e.loadReports = e.loadReports[1:]
 	}
 }
 
-// Answer is the text that any engine generates for a prompt: the oracle for a
-// whole answer. It has between half of most and most tokens.
+// Answer returns the tokens that any engine generates for a prompt: the oracle for a
+// complete answer. Their number is between half of most and most, and at least 1.
 func Answer(prompt string, most int) []string {
 	seed := xxhash.Sum64String(prompt)
 	length := max(most/2+int(seed%uint64(most/2+1)), 1)
--- a/fakes/engine/http.go
+++ b/fakes/engine/http.go
@@ -18,9 +18,9 @@
 
 func (e *Engine) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(engineapi.PathPrefill, e.counted(e.servePrefill))
+	mux.HandleFunc(engineapi.PathPrefill, e.withNotices(e.servePrefill))
 	mux.HandleFunc(engineapi.PathImport, e.serveImport)
-	mux.HandleFunc(engineapi.PathDecode, e.counted(e.serveDecode))
+	mux.HandleFunc(engineapi.PathDecode, e.withNotices(e.serveDecode))
 	mux.HandleFunc(engineapi.PathRelease, e.serveRelease)
 	mux.HandleFunc(engineapi.PathHolds, e.serveHolds)
 	mux.HandleFunc(engineapi.PathLoad, e.serveLoad)
@@ -29,8 +29,9 @@
 	return mux
 }
 
-// counted counts the requests that arrive, and names the limit in their answers.
-func (e *Engine) counted(serve http.HandlerFunc) http.HandlerFunc {
+// withNotices wraps a handler: it records arrivals, adds the engine's notices to the answers, and rejects
+// requests while the engine asks for a rest.
+func (e *Engine) withNotices(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.arrivals.Add(time.Now())
 		if e.leaving.Load() {
@@ -39,7 +40,7 @@
 		if rest := time.Duration(e.rest.Load()); rest > 0 {
 			e.arrivals.AskRest(time.Now(), rest)
 			w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
-			refuse(w, engineapi.CodeNotAccepted, "at rest")
+			writeError(w, engineapi.CodeNotAccepted, "at rest")
 			return
 		}
 		if limit := e.limit.Load(); limit != nil {
@@ -49,25 +50,25 @@
 	}
 }
 
-// NameLimit has the engine name a limit in its answers, in requests a second.
+// NameLimit makes the engine announce a limit in its answers, in requests per second.
 func (e *Engine) NameLimit(perSecond float64) { e.limit.Store(&perSecond) }
 
-// Leave has the engine say that it leaves.
+// Leave makes the engine announce in its answers that it leaves.
 func (e *Engine) Leave() { e.leaving.Store(true) }
 
-// Tire has the engine turn requests away and ask for a rest with each.
+// Tire makes the engine reject all requests and ask for a rest in each answer.
 func (e *Engine) Tire(rest time.Duration) { e.rest.Store(int64(rest)) }
 
-// Arrivals are the requests that reached the engine.
+// Arrivals returns the log of the requests for work that reached the engine.
 func (e *Engine) Arrivals() *arrival.Log { return &e.arrivals }
 
-func refuse(w http.ResponseWriter, code, text string) {
+func writeError(w http.ResponseWriter, code, text string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	_ = json.NewEncoder(w).Encode(engineapi.Error{Error: text, Code: code})
 }
 
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -77,21 +78,21 @@
 
 func (e *Engine) servePrefill(w http.ResponseWriter, r *http.Request) {
 	var order engineapi.PrefillOrder
-	if !read(w, r, &order) {
+	if !readJSON(w, r, &order) {
 		return
 	}
-	e.endAt(order.Prompt)
+	e.crashOn(order.Prompt)
 	total := e.tokens(order.Prompt, order.Emitted)
 	j, code := e.queuePrefill(order, total)
 	if code != "" {
-		refuse(w, code, "prefill not taken")
+		writeError(w, code, "prefill not taken")
 		return
 	}
 	if !e.awaitPrefill(r.Context(), j) {
-		refuse(w, engineapi.CodeFailed, "prefill ended early")
+		writeError(w, engineapi.CodeFailed, "prefill ended early")
 		return
 	}
-	answer(w, engineapi.PrefillResult{
+	writeJSON(w, engineapi.PrefillResult{
 		Attempt:   order.Attempt,
 		Tokens:    total,
 		Computed:  j.computed,
@@ -101,45 +102,46 @@
 }
 
 func (e *Engine) newJob(order engineapi.PrefillOrder, total int) *prefillJob {
-	cached := min(e.cache.hit(order.Marks, order.MarkBytes, e.cfg.BytesPerToken), total-1)
+	cached := min(e.cache.longestHit(order.Marks, order.MarkBytes, e.cfg.BytesPerToken), total-1)
 	return &prefillJob{
-		attempt:  order.Attempt,
-		order:    order,
-		total:    total,
-		computed: total - cached,
-		left:     total - cached,
-		done:     make(chan struct{}),
-		stopped:  make(chan struct{}),
+		attempt:   order.Attempt,
+		order:     order,
+		total:     total,
+		computed:  total - cached,
+		remaining: total - cached,
+		done:      make(chan struct{}),
+		stopped:   make(chan struct{}),
 	}
 }
 
-// queuePrefill takes an order in, or says why not.
+// queuePrefill queues a prefill and reserves memory for it, or returns the error code of its rejection.
 func (e *Engine) queuePrefill(order engineapi.PrefillOrder, total int) (*prefillJob, string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	_, twice := e.holds[order.Attempt]
-	full := len(e.prefills) >= maxQueue || e.kvUsed+total > e.cfg.KVTokens
-	if e.barred(order.Attempt) || twice || full {
+	full := len(e.prefills) >= maxQueuedPrefills || e.kvUsed+total > e.cfg.KVTokens
+	if e.isReleased(order.Attempt) || twice || full {
 		return nil, engineapi.CodeNotAccepted
 	}
 	j := e.newJob(order, total)
 	e.holds[order.Attempt] = &hold{attempt: order.Attempt, tokens: total, since: time.Now(), prompt: order.Prompt}
 	e.kvUsed += total
-	e.accepted = time.Now()
+	e.lastAccepted = time.Now()
 	e.prefills = append(e.prefills, j)
-	e.cfg.Ledger.started(order.Attempt)
-	poke(e.wake)
+	e.cfg.Ledger.addStarted(order.Attempt)
+	notify(e.wakePrefill)
 	return j, ""
 }
 
-func poke(c chan struct{}) {
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// awaitPrefill waits for a job and keeps its result for a while.
+// awaitPrefill waits for a job and keeps its result until the result's TTL expires. It returns false
+// if the job ended early or the context ended.
 func (e *Engine) awaitPrefill(ctx context.Context, j *prefillJob) bool {
 	select {
 	case <-j.done:
@@ -165,21 +167,21 @@
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	var order engineapi.ImportOrder
-	if !read(w, r, &order) {
+	if !readJSON(w, r, &order) {
 		return
 	}
 	source := e.cfg.Links.engineAt(order.From)
 	if source == nil {
-		refuse(w, engineapi.CodeUnknownAttempt, "no engine at "+order.From)
+		writeError(w, engineapi.CodeUnknownAttempt, "no engine at "+order.From)
 		return
 	}
 	prompt, tokens, ok := source.result(order.Source)
 	if !ok {
-		refuse(w, engineapi.CodeUnknownAttempt, "the prefill engine does not keep the result")
+		writeError(w, engineapi.CodeUnknownAttempt, "the prefill engine does not keep the result")
 		return
 	}
 	if !e.reserve(r.Context(), order.Attempt, prompt, tokens, order.OutputTokens) {
-		refuse(w, engineapi.CodeNotAccepted, "no room")
+		writeError(w, engineapi.CodeNotAccepted, "no room")
 		return
 	}
 	bytes := int64(tokens) * int64(e.cfg.KVBytesPerToken)
@@ -188,13 +190,13 @@
 		e.mutex.Lock()
 		e.drop(order.Attempt)
 		e.mutex.Unlock()
-		refuse(w, engineapi.CodeFailed, "transfer broke off")
+		writeError(w, engineapi.CodeFailed, "transfer broke off")
 		return
 	}
-	answer(w, engineapi.ImportResult{Attempt: order.Attempt, Tokens: tokens})
+	writeJSON(w, engineapi.ImportResult{Attempt: order.Attempt, Tokens: tokens})
 }
 
-// result is a finished prefill that is still kept.
+// result returns the prompt and the tokens of a prefill result that is still kept.
 func (e *Engine) result(attempt string) (prompt string, tokens int, ok bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -205,11 +207,12 @@
 	return h.prompt, h.tokens, true
 }
 
-// reserve takes a slot and memory, waiting in the engine's own queue for them.
+// reserve waits for a slot and memory and takes them. It returns false if the attempt was released or
+// already has a hold, or if the context ends.
 func (e *Engine) reserve(ctx context.Context, attempt, prompt string, tokens, output int) bool {
 	for {
 		e.mutex.Lock()
-		if e.barred(attempt) {
+		if e.isReleased(attempt) {
 			e.mutex.Unlock()
 			return false
 		}
@@ -224,7 +227,7 @@
 			}
 			e.kvUsed += tokens + output
 			e.slotsUsed++
-			e.accepted = time.Now()
+			e.lastAccepted = time.Now()
 			e.mutex.Unlock()
 			return true
 		}
@@ -240,7 +243,7 @@
 
 func (e *Engine) serveDecode(w http.ResponseWriter, r *http.Request) {
 	var order engineapi.DecodeOrder
-	if !read(w, r, &order) {
+	if !readJSON(w, r, &order) {
 		return
 	}
 	if order.Recompute != nil && !e.recompute(w, r, order) {
@@ -248,7 +251,7 @@
 	}
 	j, ok := e.startDecode(order)
 	if !ok {
-		refuse(w, engineapi.CodeUnknownAttempt, "nothing is kept for this attempt")
+		writeError(w, engineapi.CodeUnknownAttempt, "nothing is kept for this attempt")
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
@@ -256,20 +259,21 @@
 	e.streamTokens(w, r, j)
 }
 
-// recompute takes a slot and computes the prefill between decode steps.
+// recompute takes a slot and computes the prefill of a decode order on this engine, between its decode
+// steps. It answers the request itself if there is no capacity, and then returns false.
 func (e *Engine) recompute(w http.ResponseWriter, r *http.Request, order engineapi.DecodeOrder) bool {
 	p := *order.Recompute
-	e.endAt(p.Prompt)
+	e.crashOn(p.Prompt)
 	total := e.tokens(p.Prompt, p.Emitted)
 	if !e.reserve(r.Context(), order.Attempt, p.Prompt, total, order.OutputTokens) {
-		refuse(w, engineapi.CodeNotAccepted, "no room")
+		writeError(w, engineapi.CodeNotAccepted, "no room")
 		return false
 	}
 	e.mutex.Lock()
 	j := e.newJob(p, total)
-	e.locals = append(e.locals, j)
-	e.cfg.Ledger.started(order.Attempt)
-	poke(e.wakeStep)
+	e.localPrefills = append(e.localPrefills, j)
+	e.cfg.Ledger.addStarted(order.Attempt)
+	notify(e.wakeStep)
 	e.mutex.Unlock()
 	select {
 	case <-j.done:
@@ -296,7 +300,7 @@
 		return nil, false
 	}
 	if !h.slot {
-		// A decode beside the prefill on the same engine takes its slot now.
+		// The prefill ran on this engine, so nothing was imported and no slot taken yet.
 		h.slot, h.result = true, false
 		e.slotsUsed++
 	}
@@ -308,8 +312,8 @@
 		stopped: make(chan struct{}),
 	}
 	e.running = append(e.running, j)
-	e.cfg.Ledger.decoded(order.Attempt)
-	poke(e.wakeStep)
+	e.cfg.Ledger.addDecoded(order.Attempt)
+	notify(e.wakeStep)
 	return j, true
 }
 
@@ -320,14 +324,14 @@
 		select {
 		case t := <-j.tokens:
 			if lines.Encode(t) != nil || control.Flush() != nil {
-				e.cut(j)
+				e.abortDecode(j)
 				return
 			}
 			if t.Last {
 				return
 			}
 		case <-r.Context().Done():
-			e.cut(j)
+			e.abortDecode(j)
 			return
 		case <-j.stopped:
 			if len(j.tokens) == 0 {
@@ -337,8 +341,8 @@
 	}
 }
 
-// cut ends an answer whose reader is gone.
-func (e *Engine) cut(j *decodeJob) {
+// abortDecode ends an answer whose reader has disconnected.
+func (e *Engine) abortDecode(j *decodeJob) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	j.stop()
@@ -347,11 +351,11 @@
 
 func (e *Engine) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var order engineapi.ReleaseOrder
-	if !read(w, r, &order) {
+	if !readJSON(w, r, &order) {
 		return
 	}
 	e.release(order.Attempt)
-	answer(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
 func (e *Engine) serveHolds(w http.ResponseWriter, _ *http.Request) {
@@ -363,25 +367,25 @@
 		})
 	}
 	e.mutex.Unlock()
-	answer(w, out)
+	writeJSON(w, out)
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mutex.Lock()
 	var load engineapi.Load
-	if len(e.reports) > 0 {
-		load = e.reports[0].load
+	if len(e.loadReports) > 0 {
+		load = e.loadReports[0].load
 	}
 	e.mutex.Unlock()
-	answer(w, load)
+	writeJSON(w, load)
 }
 
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mutex.Lock()
-	e.pages++
+	e.eventPages++
 	evicted, next, gap := e.cache.eventsAfter(after)
-	if e.cfg.GapEvery > 0 && e.pages%e.cfg.GapEvery == 0 {
+	if e.cfg.GapEvery > 0 && e.eventPages%e.cfg.GapEvery == 0 {
 		evicted, gap = nil, true
 	}
 	e.mutex.Unlock()
@@ -389,49 +393,49 @@
 	for _, mark := range evicted {
 		out.Events = append(out.Events, engineapi.Event{Evicted: mark})
 	}
-	answer(w, out)
+	writeJSON(w, out)
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order engineapi.Order
-	if !read(w, r, &order) {
+	if !readJSON(w, r, &order) {
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if order.Fence < e.fence {
-		refuse(w, engineapi.CodeStaleFence, "a newer fence was seen")
+		writeError(w, engineapi.CodeStaleFence, "a newer fence was seen")
 		return
 	}
 	e.fence = order.Fence
 	e.orders++
-	answer(w, struct{}{})
+	writeJSON(w, struct{}{})
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// cache is the prefix cache: marks with their lengths, least recent first.
+// cache is the prefix cache: marked prefixes with their sizes in tokens, least recently used first.
 type cache struct {
 	limit int
 	used  int
 	order []uint64
 	size  map[uint64]int
-	// log is the eviction events; base is the number dropped from its front.
-	log  []uint64
-	base uint64
+	// evictions has the latest eviction events; evictionsDropped is the number of older ones that were dropped.
+	evictions        []uint64
+	evictionsDropped uint64
 }
 
-const maxLog = 4096
+const maxEvictions = 4096
 
 func newCache(limit int) *cache {
 	return &cache{limit: limit, size: make(map[uint64]int)}
 }
 
-// hit is the length of the longest cached prefix, in tokens.
-func (c *cache) hit(marks []uint64, lengths []int, bytesPerToken float64) int {
+// longestHit returns the length of the longest cached prefix in tokens, and marks those found as used.
+func (c *cache) longestHit(marks []uint64, lengths []int, bytesPerToken float64) int {
 	best := 0
 	for i, m := range marks {
 		if _, ok := c.size[m]; ok {
@@ -447,7 +451,8 @@
 	c.order = append(slices.Delete(c.order, i, i+1), mark)
 }
 
-// add keeps the marked prefixes; each costs what it adds to the one before.
+// add caches the marked prefixes, each at the size by which it exceeds the one before, and evicts
+// the least recently used while the cache is over its limit.
 func (c *cache) add(marks []uint64, lengths []int, bytesPerToken float64) {
 	before := 0
 	for i, m := range marks {
@@ -471,17 +476,17 @@
 	c.order = c.order[1:]
 	c.used -= c.size[m]
 	delete(c.size, m)
-	c.log = append(c.log, m)
-	if len(c.log) > maxLog {
-		c.log = c.log[1:]
-		c.base++
+	c.evictions = append(c.evictions, m)
+	if len(c.evictions) > maxEvictions {
+		c.evictions = c.evictions[1:]
+		c.evictionsDropped++
 	}
 }
 
 func (c *cache) eventsAfter(after uint64) (evicted []uint64, next uint64, gap bool) {
-	next = c.base + uint64(len(c.log))
-	if after > next || after < c.base {
+	next = c.evictionsDropped + uint64(len(c.evictions))
+	if after > next || after < c.evictionsDropped {
 		return nil, next, true
 	}
-	return slices.Clone(c.log[after-c.base:]), next, false
+	return slices.Clone(c.evictions[after-c.evictionsDropped:]), next, false
 }
--- a/fakes/engine/links.go
+++ b/fakes/engine/links.go
@@ -10,27 +10,28 @@
 	"time"
 )
 
-// Links is the network between engines: a rate for each pair of zones, shared
-// by all transfers on it.
+// Links is the network between engines: all transfers between a pair of zones share the rate of
+// that pair. It is safe for concurrent use.
 type Links struct {
 	mutex   sync.Mutex
 	rate    func(from, to string) int64
 	freeAt  map[string]time.Time
 	engines map[string]*Engine
-	// stall is how many of the next transfers hang halfway.
-	stall int
+	// transfersToStall is how many of the next transfers hang until they are canceled.
+	transfersToStall int
 }
 
-// NewLinks makes the network; a rate of 0 is no limit.
+// NewLinks returns a network. rate returns the rate between two zones in bytes per second; 0, or a
+// nil rate, means no limit.
 func NewLinks(rate func(from, to string) int64) *Links {
 	return &Links{rate: rate, freeAt: make(map[string]time.Time), engines: make(map[string]*Engine)}
 }
 
-// StallNext makes the next n transfers hang until they are given up.
+// StallNext makes the next n transfers hang until they are canceled.
 func (l *Links) StallNext(n int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.stall = n
+	l.transfersToStall = n
 }
 
 func (l *Links) register(address string, e *Engine) {
@@ -45,16 +46,16 @@
 	return l.engines[address]
 }
 
-// transfer takes the time of a move, behind those already on the link.
+// transfer waits for as long as a transfer takes that is queued behind those already on the link.
 func (l *Links) transfer(ctx context.Context, from, to string, bytes int64) error {
 	l.mutex.Lock()
-	if l.stall > 0 {
-		l.stall--
+	if l.transfersToStall > 0 {
+		l.transfersToStall--
 		l.mutex.Unlock()
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	end := l.book(from, to, bytes)
+	end := l.reserve(from, to, bytes)
 	l.mutex.Unlock()
 	timer := time.NewTimer(time.Until(end))
 	defer timer.Stop()
@@ -66,8 +67,8 @@
 	}
 }
 
-// book puts a transfer behind the others. The mutex is held.
-func (l *Links) book(from, to string, bytes int64) time.Time {
+// reserve reserves the link for a transfer behind the others and returns when it ends. The mutex is held.
+func (l *Links) reserve(from, to string, bytes int64) time.Time {
 	now := time.Now()
 	if l.rate == nil {
 		return now
@@ -86,72 +87,72 @@
 	return end
 }
 
-// Ledger counts what all engines of a test did for each request; it outlives
-// the engines' restarts.
+// Ledger counts the work of all engines of a test for each request; it is kept when
+// engines restart. It is safe for concurrent use.
 type Ledger struct {
 	mutex    sync.Mutex
 	requests map[string]*Work
 }
 
-// Work is what was done for one request.
+// Work is the work of all engines for one request.
 type Work struct {
-	// Computed is the prefill tokens computed, by attempt.
+	// Computed is the number of prefill tokens computed, by attempt id.
 	Computed map[string]int
-	// Started and Decoded count the prefills and decodes begun, Finished the
-	// answers generated to their last token.
+	// Started and Decoded are the numbers of prefills and decodes begun, Finished the
+	// number of answers generated to their last token.
 	Started  int
 	Decoded  int
 	Finished int
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{requests: make(map[string]*Work)}
 }
 
-// request is the attempt's id without its number.
-func request(attempt string) string {
+// requestID returns the request id of an attempt: the attempt's id without its number.
+func requestID(attempt string) string {
 	if i := strings.LastIndexByte(attempt, '~'); i >= 0 {
 		return attempt[:i]
 	}
 	return attempt
 }
 
-// work finds a request's entry. The mutex is held.
-func (l *Ledger) work(attempt string) *Work {
-	w := l.requests[request(attempt)]
+// entry returns the entry of an attempt's request and creates it if needed. The mutex is held.
+func (l *Ledger) entry(attempt string) *Work {
+	w := l.requests[requestID(attempt)]
 	if w == nil {
 		w = &Work{Computed: make(map[string]int)}
-		l.requests[request(attempt)] = w
+		l.requests[requestID(attempt)] = w
 	}
 	return w
 }
 
-func (l *Ledger) computed(attempt string, tokens int) {
+func (l *Ledger) addComputed(attempt string, tokens int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.work(attempt).Computed[attempt] += tokens
+	l.entry(attempt).Computed[attempt] += tokens
 }
 
-func (l *Ledger) started(attempt string) {
+func (l *Ledger) addStarted(attempt string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.work(attempt).Started++
+	l.entry(attempt).Started++
 }
 
-func (l *Ledger) finished(attempt string) {
+func (l *Ledger) addFinished(attempt string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.work(attempt).Finished++
+	l.entry(attempt).Finished++
 }
 
-func (l *Ledger) decoded(attempt string) {
+func (l *Ledger) addDecoded(attempt string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.work(attempt).Decoded++
+	l.entry(attempt).Decoded++
 }
 
-// Requests copies the ledger, by request id.
+// Requests returns a copy of the ledger, by request id.
 func (l *Ledger) Requests() map[string]Work {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/fakes/engine/work.go
+++ b/fakes/engine/work.go
@@ -12,24 +12,24 @@
 	"runridge.example/runridge/protocol/engineapi"
 )
 
-// prefillJob is a prefill that waits or runs.
+// prefillJob is a prefill that is queued or runs. computed is its total of tokens to compute, remaining what is still to be computed.
 type prefillJob struct {
-	attempt  string
-	order    engineapi.PrefillOrder
-	total    int
-	computed int
-	left     int
-	worked   time.Duration
-	done     chan struct{}
-	stopped  chan struct{}
-	once     sync.Once
+	attempt   string
+	order     engineapi.PrefillOrder
+	total     int
+	computed  int
+	remaining int
+	worked    time.Duration
+	done      chan struct{}
+	stopped   chan struct{}
+	once      sync.Once
 }
 
 func (j *prefillJob) stop() {
 	j.once.Do(func() { close(j.stopped) })
 }
 
-func (j *prefillJob) ended() bool {
+func (j *prefillJob) isStopped() bool {
 	select {
 	case <-j.stopped:
 		return true
@@ -52,7 +52,7 @@
 	j.once.Do(func() { close(j.stopped) })
 }
 
-func (j *decodeJob) ended() bool {
+func (j *decodeJob) isStopped() bool {
 	select {
 	case <-j.stopped:
 		return true
@@ -61,8 +61,8 @@
 	}
 }
 
-// prefillLoop works on the queue piece by piece, the highest priority first. It is poked
-// by the channel of its own start.
+// prefillLoop computes queued prefills chunk by chunk, the highest priority first. It gets wake as
+// an argument because a restart replaces the engine's channel.
 func (e *Engine) prefillLoop(ctx context.Context, wake <-chan struct{}) {
 	for {
 		j := e.nextPrefill()
@@ -74,11 +74,11 @@
 			}
 			continue
 		}
-		piece := min(j.left, pieceTokens)
-		if !e.spend(ctx, e.prefillTime(piece)) {
+		chunk := min(j.remaining, prefillChunk)
+		if !e.simulateWork(ctx, e.prefillTime(chunk)) {
 			return
 		}
-		e.advance(j, piece)
+		e.advance(j, chunk)
 	}
 }
 
@@ -86,8 +86,9 @@
 	return time.Duration(float64(tokens) / e.cfg.PrefillRate * float64(time.Second))
 }
 
-// spend passes the time that work takes, and the time of a freeze.
-func (e *Engine) spend(ctx context.Context, d time.Duration) bool {
+// simulateWork waits for the time that work takes, and then until a freeze ends. It returns false if the
+// context ends first.
+func (e *Engine) simulateWork(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -109,7 +110,7 @@
 	}
 }
 
-// Freeze makes the engine work on nothing until the returned function is
+// Freeze suspends all work of the engine until the returned function is
 // called; its connections stay open.
 func (e *Engine) Freeze() (thaw func()) {
 	e.mutex.Lock()
@@ -129,7 +130,7 @@
 func (e *Engine) nextPrefill() *prefillJob {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.prefills = slices.DeleteFunc(e.prefills, func(j *prefillJob) bool { return j.ended() })
+	e.prefills = slices.DeleteFunc(e.prefills, func(j *prefillJob) bool { return j.isStopped() })
 	if len(e.prefills) == 0 {
 		return nil
 	}
@@ -138,14 +139,14 @@
 	})
 }
 
-// advance books a piece of prefill and finishes the job after the last.
-func (e *Engine) advance(j *prefillJob, piece int) {
+// advance records a computed chunk of a prefill and completes the job after the last one.
+func (e *Engine) advance(j *prefillJob, chunk int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.cfg.Ledger.computed(j.attempt, piece)
-	j.left -= piece
-	j.worked += e.prefillTime(piece)
-	if j.left > 0 || j.ended() {
+	e.cfg.Ledger.addComputed(j.attempt, chunk)
+	j.remaining -= chunk
+	j.worked += e.prefillTime(chunk)
+	if j.remaining > 0 || j.isStopped() {
 		return
 	}
 	e.prefills = slices.DeleteFunc(e.prefills, func(o *prefillJob) bool { return o == j })
@@ -153,7 +154,7 @@
 	close(j.done)
 }
 
-// stepLoop makes one token for every running answer in each step.
+// stepLoop generates one token for every running answer in each decode step.
 func (e *Engine) stepLoop(ctx context.Context, wake <-chan struct{}) {
 	for {
 		d := e.stepTime()
@@ -165,25 +166,25 @@
 			}
 			continue
 		}
-		if !e.spend(ctx, d) {
+		if !e.simulateWork(ctx, d) {
 			return
 		}
 		e.step()
 	}
 }
 
-// stepTime is the time of the next step, 0 if there is nothing to do.
+// stepTime returns the duration of the next decode step, 0 if there is nothing to do.
 func (e *Engine) stepTime() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.running = slices.DeleteFunc(e.running, func(j *decodeJob) bool { return j.ended() })
-	e.locals = slices.DeleteFunc(e.locals, func(j *prefillJob) bool { return j.ended() })
+	e.running = slices.DeleteFunc(e.running, func(j *decodeJob) bool { return j.isStopped() })
+	e.localPrefills = slices.DeleteFunc(e.localPrefills, func(j *prefillJob) bool { return j.isStopped() })
 	var d time.Duration
 	if n := len(e.running); n > 0 {
 		d = e.cfg.StepBase + e.cfg.StepPer*time.Duration(n)
 	}
-	if len(e.locals) > 0 {
-		d += e.prefillTime(min(e.locals[0].left, localPiece))
+	if len(e.localPrefills) > 0 {
+		d += e.prefillTime(min(e.localPrefills[0].remaining, localPrefillChunk))
 	}
 	return d
 }
@@ -194,25 +195,25 @@
 	for _, j := range e.running {
 		e.emit(j)
 	}
-	if len(e.locals) == 0 {
+	if len(e.localPrefills) == 0 {
 		return
 	}
-	j := e.locals[0]
-	piece := min(j.left, localPiece)
-	e.cfg.Ledger.computed(j.attempt, piece)
-	j.left -= piece
-	j.worked += e.prefillTime(piece)
-	if j.left == 0 {
-		e.locals = e.locals[1:]
+	j := e.localPrefills[0]
+	chunk := min(j.remaining, localPrefillChunk)
+	e.cfg.Ledger.addComputed(j.attempt, chunk)
+	j.remaining -= chunk
+	j.worked += e.prefillTime(chunk)
+	if j.remaining == 0 {
+		e.localPrefills = e.localPrefills[1:]
 		e.cache.add(j.order.Marks, j.order.MarkBytes, e.cfg.BytesPerToken)
 		close(j.done)
 	}
 }
 
-// emit queues an answer's next token; a reader that is too slow is cut off.
+// emit queues an answer's next token for its reader, and ends the answer if the reader is too slow.
 // The mutex is held.
 func (e *Engine) emit(j *decodeJob) {
-	if j.ended() {
+	if j.isStopped() {
 		return
 	}
 	t := engineapi.TokenLine{Attempt: j.attempt, Index: j.next, Text: j.words[j.next], Last: j.next == len(j.words)-1}
@@ -225,7 +226,7 @@
 	}
 	j.next++
 	if t.Last {
-		e.cfg.Ledger.finished(j.attempt)
+		e.cfg.Ledger.addFinished(j.attempt)
 		j.stop()
 		e.drop(j.attempt)
 	}
--- a/fakes/fleet/fleet.go
+++ b/fakes/fleet/fleet.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package fleet starts a table's engines, the platform and some boxes in one
-// process, on loopback. Tests and measurements run against it; the boxes in
-// it are the real ones.
+// Package fleet starts real boxes with stand-ins of the platform, of a table's
+// engines and of its plain services in one process, on loopback. Tests and
+// measurements run against it.
 package fleet
 
 import (
@@ -27,29 +27,30 @@
 	"runridge.example/runridge/state/table"
 )
 
-// Config says what to start.
+// Config describes the fleet to start.
 type Config struct {
 	Table table.Table
 	Boxes int
 	// Policy is the boxes' scheduling policy.
 	Policy schedule.Policy
-	// Skew makes the engines' real speed differ from the table's: 1 is alike,
-	// 0.8 is a fifth slower.
+	// Skew is the ratio of the engines' real speed to the speed in the table: 0.8 is a
+	// fifth slower. 0 selects 1.
 	Skew float64
-	// ReportLag and GapEvery make load reports late and lose cache events.
+	// ReportLag is the age of load reports; every GapEvery-th page of cache events is lost.
 	ReportLag time.Duration
 	GapEvery  int
-	// CacheTokens bounds each engine's prefix cache.
+	// CacheTokens is the capacity of each engine's prefix cache, in tokens; 0 selects a default.
 	CacheTokens int
-	ResultTTL   time.Duration
-	// EndsAt is what ends an engine that is to read a prompt with that in it.
-	EndsAt string
-	// StepTimeoutMS bounds an order to an engine.
+	// ResultTTL is how long engines keep a prefill result; 0 selects their default.
+	ResultTTL time.Duration
+	// CrashPrompt, if not empty, crashes each engine that is to prefill a prompt that contains it.
+	CrashPrompt string
+	// StepTimeoutMS is the boxes' timeout for an order to an engine, in milliseconds.
 	StepTimeoutMS int
 	Log           log.Logger
 }
 
-// Fleet is what was started.
+// Fleet is a running fleet. Engines and Plain are by endpoint name.
 type Fleet struct {
 	Platform *platform.Server
 	Engines  map[string]*engine.Engine
@@ -72,28 +73,29 @@
 	done   chan struct{}
 }
 
-// Stop stops the box as planned and waits for it.
+// Stop performs a planned stop of the box and waits for its end.
 func (m *Member) Stop() {
 	m.cancel()
 	<-m.done
 }
 
 const (
-	pollBoxes    = 200 * time.Millisecond
-	settle       = 300 * time.Millisecond
-	readyTimeout = 10 * time.Second
-	readyLook    = 2 * time.Millisecond
-	// defaultCache is an engine's prefix cache, in tokens.
-	defaultCache = 60_000
+	pollInterval      = 200 * time.Millisecond
+	settleTime        = 300 * time.Millisecond
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 2 * time.Millisecond
+	// defaultCacheTokens is the default capacity of an engine's prefix cache, in tokens.
+	defaultCacheTokens = 60_000
 )
 
-// Start starts everything and waits until all boxes are ready.
+// Start starts a fleet and waits until all its boxes are ready. The fleet stops when ctx ends or
+// Stop is called.
 func Start(ctx context.Context, cfg Config) (*Fleet, error) {
 	if cfg.Skew <= 0 {
 		cfg.Skew = 1
 	}
 	if cfg.CacheTokens == 0 {
-		cfg.CacheTokens = defaultCache
+		cfg.CacheTokens = defaultCacheTokens
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	f := &Fleet{
@@ -141,7 +143,7 @@
 	return f.awaitReady()
 }
 
-// startPlain starts a plain service's endpoint.
+// startPlain starts the stand-in for a plain service's endpoint and puts its address in the table.
 func (f *Fleet) startPlain(e table.Endpoint) error {
 	s, err := plain.Start(f.ctx)
 	if err != nil {
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// startEngine starts an endpoint's engine and puts its address in the table.
+// startEngine starts the stand-in for an engine and puts its address in the table.
 func (f *Fleet) startEngine(e table.Endpoint) error {
 	fake := engine.New(engine.Config{
 		Name:            e.Name,
@@ -168,7 +170,7 @@
 		ResultTTL:       f.cfg.ResultTTL,
 		ReportLag:       f.cfg.ReportLag,
 		GapEvery:        f.cfg.GapEvery,
-		EndsAt:          f.cfg.EndsAt,
+		CrashPrompt:     f.cfg.CrashPrompt,
 		Links:           f.Links,
 		Ledger:          f.Ledger,
 	})
@@ -181,7 +183,7 @@
 	return nil
 }
 
-// AddBox starts one more box.
+// AddBox starts another box and adds it to the platform's list. It does not wait until the box is ready.
 func (f *Fleet) AddBox(name string) (*Member, error) {
 	zones := f.cfg.Table.Zones
 	zone := zones[len(f.Boxes)%len(zones)].Name
@@ -193,7 +195,7 @@
 		OperatorListen: "127.0.0.1:0",
 		Platform:       f.Platform.Addr(),
 		Limits:         setting.Limits{StepTimeoutMS: f.cfg.StepTimeoutMS},
-	}, box.Options{Policy: f.cfg.Policy, Log: f.cfg.Log, PollBoxes: pollBoxes, Settle: settle})
+	}, box.Options{Policy: f.cfg.Policy, Log: f.cfg.Log, PollBoxes: pollInterval, Settle: settleTime})
 	if err != nil {
 		return nil, err
 	}
@@ -208,14 +210,16 @@
 	return m, nil
 }
 
-// processWindow is short, so that tests need not wait for a full one.
-const processWindow = 3
+// processRepeatSeconds is the repeat window of boxes that run as processes, in seconds. It is short,
+// since some tests wait for a full one.
+const processRepeatSeconds = 3
 
-// AddProcess starts the router program as a box. Its log goes to a file in dir.
+// AddProcess starts the router program as a box and adds it to the platform's list. Its settings
+// and its log are files in dir.
 func (f *Fleet) AddProcess(program, dir, name, zone string) (*process.Process, error) {
 	const anyPort = "127.0.0.1:0"
 	p, err := process.Start(program, dir, setting.Box{
-		Name: name, Zone: zone, Platform: f.Platform.Addr(), RepeatWindowSeconds: processWindow,
+		Name: name, Zone: zone, Platform: f.Platform.Addr(), RepeatWindowSeconds: processRepeatSeconds,
 		CallerListen: anyPort, BoxListen: anyPort, OperatorListen: anyPort,
 	})
 	if err != nil {
@@ -225,12 +229,12 @@
 	return p, nil
 }
 
-// Table is the table with the engines' real addresses.
+// Table returns the table with the real addresses of the endpoints.
 func (f *Fleet) Table() table.Table {
 	return f.cfg.Table
 }
 
-// SetTable puts a changed table into the platform.
+// SetTable publishes a changed table on the platform.
 func (f *Fleet) SetTable(t table.Table) error {
 	data, err := json.Marshal(t)
 	if err != nil {
@@ -241,12 +245,12 @@
 	return nil
 }
 
-// RestartEngine starts an engine again after Kill, at its old address.
+// RestartEngine starts an engine again after it was killed or has crashed, at the same address.
 func (f *Fleet) RestartEngine(name string) error {
 	return f.Engines[name].Start(f.ctx)
 }
 
-// awaitReady waits until each box has a table and knows the others.
+// awaitReady waits until each box is ready and knows the others, and errors after readyTimeout.
 func (f *Fleet) awaitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for {
@@ -262,11 +266,11 @@
 		if time.Now().After(deadline) {
 			return fmt.Errorf("%d of %d boxes ready after %s", ready, len(f.Boxes), readyTimeout)
 		}
-		time.Sleep(readyLook)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// Held is the number of attempts that engines keep memory for.
+// Held returns the number of holds on all engines.
 func (f *Fleet) Held() int {
 	held := 0
 	for _, e := range f.Engines {
@@ -275,7 +279,7 @@
 	return held
 }
 
-// Stop stops everything and waits for it.
+// Stop stops the fleet and waits for its boxes.
 func (f *Fleet) Stop() {
 	f.cancel()
 	_ = f.running.Wait()
--- a/fakes/plain/plain.go
+++ b/fakes/plain/plain.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package plain is a small stand-in for a plain service: it answers each call
-// with what it got and counts the calls by their key.
+// Package plain is a small stand-in for a plain service: it echoes each call
+// and counts the calls by their key.
 package plain
 
 import (
@@ -20,24 +20,24 @@
 	"runridge.example/runridge/tests/arrival"
 )
 
-// HeaderKey names a call in the counts.
+// HeaderKey is the header with the key under which a call is counted.
 const HeaderKey = "X-Call"
 
-// Server is the stand-in.
+// Server is the stand-in. Its methods may be called while it serves.
 type Server struct {
 	mutex sync.Mutex
 	runs  map[string]int
-	// cut makes the next calls run and break off before the answer.
-	cut      int
-	limit    *float64
-	leaving  bool
-	rest     time.Duration
-	arrivals arrival.Log
-	addr     string
-	server   *http.Server
+	// callsToCut is how many of the next calls run and break the connection before the answer.
+	callsToCut int
+	limit      *float64
+	leaving    bool
+	rest       time.Duration
+	arrivals   arrival.Log
+	addr       string
+	server     *http.Server
 }
 
-// Start opens a service on a loopback address until the context ends.
+// Start starts a service on a loopback address that serves until the context ends or Stop is called.
 func Start(ctx context.Context) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,51 +50,51 @@
 	return s, nil
 }
 
-// Addr is the IP number and port.
+// Addr returns the address as IP:port.
 func (s *Server) Addr() string { return s.addr }
 
-// Stop closes the service: connections to it are refused.
+// Stop closes the service; later connections to it are refused.
 func (s *Server) Stop() { _ = s.server.Close() }
 
-// CutNext makes the next n calls run and break off without an answer.
+// CutNext makes the next n calls run and break the connection without an answer.
 func (s *Server) CutNext(n int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.cut = n
+	s.callsToCut = n
 }
 
-// Runs is how often the call of that key ran.
+// Runs returns how many times calls with that key have run.
 func (s *Server) Runs(key string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.runs[key]
 }
 
-// NameLimit has the service name a limit in its answers, in requests a second.
+// NameLimit makes the service announce a limit in its answers, in requests per second.
 func (s *Server) NameLimit(perSecond float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.limit = &perSecond
 }
 
-// Leave has the service say that it leaves.
+// Leave makes the service announce in its answers that it leaves.
 func (s *Server) Leave() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.leaving = true
 }
 
-// Tire has the service turn calls away and ask for a rest with each.
+// Tire makes the service reject all calls and ask for a rest in each answer.
 func (s *Server) Tire(rest time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.rest = rest
 }
 
-// Arrivals are the calls that reached the service.
+// Arrivals returns the log of the calls that reached the service.
 func (s *Server) Arrivals() *arrival.Log { return &s.arrivals }
 
-// ServeHTTP answers with the method, the path and the body.
+// ServeHTTP answers with the method, the path and the body of the call, unless it is rejected or cut.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.arrivals.Add(time.Now())
 	s.mutex.Lock()
@@ -112,9 +112,9 @@
 		return
 	}
 	s.runs[r.Header.Get(HeaderKey)]++
-	cut := s.cut > 0
+	cut := s.callsToCut > 0
 	if cut {
-		s.cut--
+		s.callsToCut--
 	}
 	s.mutex.Unlock()
 	if cut {
--- a/fakes/platform/platform.go
+++ b/fakes/platform/platform.go
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: MIT
 
 // Package platform is a small stand-in for the platform's object API: objects
-// with versions, conditional updates, watches and a lagging list of boxes, and
-// the ways in which the real one fails.
+// with versions, conditional updates, watches and a list of boxes. It can fail
+// as the real one does: outages, lost answers and stale reads.
 package platform
 
 import (
@@ -20,38 +20,39 @@
 	"runridge.example/runridge/protocol/platformapi"
 )
 
-// Counts are the calls answered so far; a waiting watch counts as one read.
+// Counts has the number of calls received so far; a watch counts as one read.
 type Counts struct {
 	Reads  int
 	Writes int
 }
 
-// Server is the stand-in.
+// Server is the stand-in. Its methods may be called while it serves.
 type Server struct {
 	mutex   sync.Mutex
 	changed chan struct{}
 	objects map[string]platformapi.Object
 	boxes   map[string]platformapi.Box
 	counts  Counts
-	// version grows over all objects, so that it grows for each.
+	// version is the last version given to any object; it is shared, so that the versions of
+	// each object increase.
 	version uint64
 	down    bool
-	// lose is how many writes take effect and lose their answer.
-	lose int
-	// old, when set, is what reads of an object give: a stale replica.
-	old map[string]platformapi.Object
+	// answersToLose is how many of the next writes take effect without an answer.
+	answersToLose int
+	// staleObjects has, by name, the objects whose reads return an old value, as from a stale replica.
+	staleObjects map[string]platformapi.Object
 
 	http *http.Server
 	addr string
 }
 
-// New makes a stand-in; Start opens it.
+// New returns a stand-in that serves once it is started.
 func New() *Server {
 	return &Server{
-		changed: make(chan struct{}),
-		objects: make(map[string]platformapi.Object),
-		boxes:   make(map[string]platformapi.Box),
-		old:     make(map[string]platformapi.Object),
+		changed:      make(chan struct{}),
+		objects:      make(map[string]platformapi.Object),
+		boxes:        make(map[string]platformapi.Box),
+		staleObjects: make(map[string]platformapi.Object),
 	}
 }
 
@@ -71,19 +72,19 @@
 	return nil
 }
 
-// Addr is the IP number and port.
+// Addr returns the address as IP:port.
 func (s *Server) Addr() string {
 	return s.addr
 }
 
-// Counts are the calls so far.
+// Counts returns the number of calls so far.
 func (s *Server) Counts() Counts {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.counts
 }
 
-// SetDown starts or ends an outage. Waiting watches end with it.
+// SetDown starts or ends an outage. Its start ends pending watches with an error.
 func (s *Server) SetDown(down bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -91,23 +92,23 @@
 	s.wake()
 }
 
-// LoseAnswers makes the next n writes take effect and lose their answers.
+// LoseAnswers makes the next n writes take effect and breaks their connections before the answer.
 func (s *Server) LoseAnswers(n int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lose = n
+	s.answersToLose = n
 }
 
-// SetStale makes reads of an object give what it is now, whatever is written
-// later, until it is set to false.
+// SetStale makes reads of an object return its present value, whatever is written
+// later, until SetStale is called with false.
 func (s *Server) SetStale(name string, stale bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if stale {
-		s.old[name] = s.objects[name]
+		s.staleObjects[name] = s.objects[name]
 		return
 	}
-	delete(s.old, name)
+	delete(s.staleObjects, name)
 	s.wake()
 }
 
@@ -118,22 +119,21 @@
 	s.boxes[b.Name] = b
 }
 
-// RemoveBox takes a box off the list.
+// RemoveBox removes a box from the list.
 func (s *Server) RemoveBox(name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.boxes, name)
 }
 
-// Put writes an object past all faults, as a test's own hand, and returns its
-// version.
+// Put writes an object directly, whatever fault is set, and returns its version.
 func (s *Server) Put(name string, value []byte) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.set(name, value)
 }
 
-// Version is an object's version past all faults; 0 is none.
+// Version returns an object's version, whatever fault is set; 0 means that it does not exist.
 func (s *Server) Version(name string) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -147,7 +147,7 @@
 	return s.version
 }
 
-// wake lets waiting watches look again.
+// wake makes pending watches read their object again. The mutex is held.
 func (s *Server) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -182,13 +182,13 @@
 			return
 		}
 		if after == 0 || o.Version > after {
-			answer(w, o)
+			writeJSON(w, o)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			answer(w, o)
+			writeJSON(w, o)
 			return
 		case <-r.Context().Done():
 			return
@@ -197,7 +197,7 @@
 }
 
 func (s *Server) read(name string) platformapi.Object {
-	if o, stale := s.old[name]; stale {
+	if o, stale := s.staleObjects[name]; stale {
 		return o
 	}
 	return s.objects[name]
@@ -227,15 +227,15 @@
 		return
 	}
 	version := s.set(name, value)
-	lost := s.lose > 0
+	lost := s.answersToLose > 0
 	if lost {
-		s.lose--
+		s.answersToLose--
 	}
 	s.mutex.Unlock()
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
-	answer(w, platformapi.Object{Version: version})
+	writeJSON(w, platformapi.Object{Version: version})
 }
 
 func (s *Server) serveBoxes(w http.ResponseWriter, _ *http.Request) {
@@ -251,10 +251,10 @@
 		http.Error(w, "out of service", http.StatusServiceUnavailable)
 		return
 	}
-	answer(w, list)
+	writeJSON(w, list)
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/fakes/process/process.go
+++ b/fakes/process/process.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: MIT
 
 // Package process runs the router program as boxes that can be killed, paused and
-// stopped; it ends no process but those that it started.
+// stopped. It signals only processes that it has started.
 package process
 
 import (
@@ -20,14 +20,13 @@
 	"runridge.example/runridge/modules/setting"
 )
 
-// Process is a box that runs as a process of its own, so that it can be
-// killed and paused.
+// Process is a box that runs in its own process, so that it can be killed and paused.
 type Process struct {
 	Name       string
 	CallerAddr string
-	// OperatorAddr is where the box tells its status.
+	// OperatorAddr is where the box serves its status to operators.
 	OperatorAddr string
-	// RelayAddr and ReadyAddr are empty without routed services.
+	// RelayAddr and ReadyAddr are empty if the box has no routed services.
 	RelayAddr, ReadyAddr string
 	program, dir         string
 	settings             setting.Box
@@ -39,8 +38,9 @@
 
 const settingsMode = 0o600
 
-// Start starts the router program with settings; addresses with port 0 are
-// chosen by it. Its settings and its log go to files in dir.
+// Start starts the router program with settings, which it writes to a file in dir beside the
+// program's log, and waits until the program listens. Of an address with port 0 the program
+// chooses the port. Start errors if the program ends before it listens.
 func Start(program, dir string, settings setting.Box) (*Process, error) {
 	p := &Process{
 		Name: settings.Name, program: program, dir: dir, settings: settings,
@@ -74,15 +74,14 @@
 	return p, nil
 }
 
-// Again starts a process after its end once more, at its old addresses.
+// Again starts the program once more after its end, at the same addresses.
 func (p *Process) Again() (*Process, error) {
 	return Start(p.program, p.dir, p.settings)
 }
 
 func (p *Process) settingsPath() string { return filepath.Join(p.dir, p.Name+".json") }
 
-// WriteSettings writes the file that the process reads at its start and at a
-// hangup.
+// WriteSettings writes the settings file that the process reads at its start and after Hangup.
 func (p *Process) WriteSettings(settings setting.Box) error {
 	data, err := json.Marshal(settings)
 	if err != nil {
@@ -91,20 +90,20 @@
 	return os.WriteFile(p.settingsPath(), data, settingsMode)
 }
 
-// Settings are those that it was started with, with the addresses that it chose.
+// Settings returns the settings that the process was started with, with the ports that it chose.
 func (p *Process) Settings() setting.Box { return p.settings }
 
-// ID is the process's id.
+// ID returns the process id.
 func (p *Process) ID() int { return p.cmd.Process.Pid }
 
-// startLook is how often the log of a process that starts is looked at.
-const startLook = 2 * time.Millisecond
+// startPollInterval is the interval at which the log of a starting process is read.
+const startPollInterval = 2 * time.Millisecond
 
-// awaitStart reads from the process's log, from an offset on, at which addresses
-// it listens. A process that ends before gives an error with its log.
+// awaitStart waits until the process has logged, after offset, the addresses at which it
+// listens, and stores them in p. If the process ends first, the error contains its log.
 func (p *Process) awaitStart(offset int64) error {
 	for {
-		// The end is looked at first, so that the log is whole if it has come.
+		// Checked before the log is read, so that the log of an ended process is complete.
 		ended := false
 		select {
 		case <-p.done:
@@ -119,17 +118,16 @@
 			return nil
 		}
 		if ended {
-			return fmt.Errorf("box %s ended at its start: %w: %s", p.Name, p.err, text[offset:])
+			return fmt.Errorf("box %s ended before it listened: %w: %s", p.Name, p.err, text[offset:])
 		}
-		time.Sleep(startLook)
+		time.Sleep(startPollInterval)
 	}
 }
 
-// startLine is what a box writes when it listens.
+// startLine matches the line that a box logs when it listens.
 var startLine = regexp.MustCompile(`msg=box_started .*\n`)
 
-// readAddresses takes the addresses from the box's log; false if it does not
-// have them yet.
+// readAddresses stores the addresses from the box's log in p and reports whether the log has them.
 func (p *Process) readAddresses(text string) bool {
 	line := startLine.FindString(text)
 	if line == "" {
@@ -149,29 +147,29 @@
 	return true
 }
 
-// Log is what the process has written, from its first start on.
+// Log returns everything that the process has written since its first start.
 func (p *Process) Log() (string, error) {
 	data, err := os.ReadFile(p.logPath)
 	return string(data), err
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits for its end.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Pause stops the process where it is; Resume lets it go on.
+// Pause suspends the process until Resume.
 func (p *Process) Pause() error {
 	return p.cmd.Process.Signal(syscall.SIGSTOP)
 }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (p *Process) Resume() error {
 	return p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// Stop asks for a planned stop and waits for its end.
+// Stop requests a planned stop and waits for the end of the process.
 func (p *Process) Stop() error {
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -180,10 +178,10 @@
 	return p.err
 }
 
-// Hangup tells the process to read its settings again.
+// Hangup makes the process reload its settings.
 func (p *Process) Hangup() error {
 	return p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
--- a/tests/arrival/arrival.go
+++ b/tests/arrival/arrival.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package arrival records when requests reach a stand-in for an endpoint.
+// Package arrival records when requests reach the stand-in of an endpoint.
 package arrival
 
 import (
@@ -9,27 +9,28 @@
 	"time"
 )
 
-// Log is the arrivals at one endpoint. It is safe for use by several goroutines.
+// Log holds the times of all arrivals at one endpoint and the rests that it asked for. It is
+// safe for concurrent use; its zero value is empty.
 type Log struct {
 	mutex sync.Mutex
 	times []time.Time
 	rests []rest
 }
 
-// rest is a time in which nothing was to come.
+// rest is a period in which the endpoint asked for no requests.
 type rest struct {
 	from   time.Time
 	length time.Duration
 }
 
-// Add notes an arrival.
+// Add records an arrival. Arrivals are added in the order of their times.
 func (l *Log) Add(at time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.times = append(l.times, at)
 }
 
-// Since is the number of arrivals from a moment on.
+// Since returns the number of arrivals at or after from.
 func (l *Log) Since(from time.Time) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -42,21 +43,22 @@
 	return n
 }
 
-// AskRest notes that the endpoint asks for a rest from a moment on.
+// AskRest records that the endpoint asked for a rest that begins at from.
 func (l *Log) AskRest(from time.Time, length time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.rests = append(l.rests, rest{from: from, length: length})
 }
 
-// Rests is the number of rests that were asked for.
+// Rests returns the number of rests that were asked for.
 func (l *Log) Rests() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.rests)
 }
 
-// DuringRests is the most arrivals in any rest, from a time after it was asked for on.
+// DuringRests returns the most arrivals in any one rest, not counting those within heard after
+// it was asked for.
 func (l *Log) DuringRests(heard time.Duration) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -73,7 +75,7 @@
 	return most
 }
 
-// Fullest is the most arrivals in any window of a length, from a moment on.
+// Fullest returns the most arrivals in any window of the given length that begins at or after from.
 func (l *Log) Fullest(length time.Duration, from time.Time) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/tests/integration/caller_test.go
+++ b/tests/integration/caller_test.go
@@ -45,8 +45,8 @@
 	return resp.StatusCode, resp.Header, string(data)
 }
 
-// outcome reads a typed refusal.
-func outcome(t *testing.T, body string) callerapi.RefusalBody {
+// decodeRefusal decodes the body of a refusal.
+func decodeRefusal(t *testing.T, body string) callerapi.RefusalBody {
 	t.Helper()
 	var r callerapi.Refusal
 	if err := json.Unmarshal([]byte(body), &r); err != nil {
@@ -66,7 +66,7 @@
 			return map[string]string{callerapi.HeaderAccount: "franquicia", plain.HeaderKey: t.Name() + k, callerapi.HeaderOnce: v}
 		}
 
-		convey.Convey("method, path, query, body and status go both ways", func() {
+		convey.Convey("method, path, query, body and status are forwarded", func() {
 			status, header, body := call(ctx, t, http.MethodPost, base+"/status?n=7", account, strings.NewReader("hello"))
 			convey.So(status, convey.ShouldEqual, http.StatusAccepted)
 			convey.So(header.Get("X-Service"), convey.ShouldEqual, "plain")
@@ -77,14 +77,14 @@
 			_, _, body := call(ctx, t, http.MethodPut, base+"/x", account, bytes.NewReader(large))
 			convey.So(len(body), convey.ShouldEqual, len(large)+len("PUT /portal/x "))
 		})
-		convey.Convey("a call that may be repeated is, when its endpoint breaks off", func() {
+		convey.Convey("a request that may be repeated is retried when its endpoint breaks the connection", func() {
 			cutAll(f, 1)
 			status, _, _ := call(ctx, t, http.MethodGet, base+"/a", with("a", ""), nil)
 			cutAll(f, 0)
 			convey.So(status, convey.ShouldBeIn, []int{http.StatusAccepted, http.StatusBadGateway})
 			convey.So(runs(f, t.Name()+"a"), convey.ShouldBeGreaterThan, 1)
 		})
-		convey.Convey("one that may not runs once and ends unknown", func() {
+		convey.Convey("one that may not be repeated runs once and ends as unknown", func() {
 			for name, header := range map[string]map[string]string{"by header": with("b", "true"), "by method": with("b", "")} {
 				cutAll(f, 1)
 				method := map[string]string{"by header": http.MethodGet, "by method": http.MethodPost}[name]
@@ -92,11 +92,11 @@
 				status, _, body := call(ctx, t, method, base+"/b", header, nil)
 				cutAll(f, 0)
 				convey.So(status, convey.ShouldEqual, http.StatusBadGateway)
-				convey.So(outcome(t, body).Outcome, convey.ShouldEqual, callerapi.OutcomeUnknown)
+				convey.So(decodeRefusal(t, body).Outcome, convey.ShouldEqual, callerapi.OutcomeUnknown)
 				convey.So(runs(f, t.Name()+"b"), convey.ShouldEqual, before+1)
 			}
 		})
-		convey.Convey("one that may not is still tried elsewhere if it was proved not to have run", func() {
+		convey.Convey("one that may not be repeated is still sent elsewhere if it has provably not run", func() {
 			for _, s := range firstTwo(f) {
 				s.Stop()
 			}
@@ -127,14 +127,14 @@
 	return n
 }
 
-// TestCallerGone shows that engine memory comes free when a caller goes,
-// whatever its request is doing at that moment.
+// TestCallerGone checks that engine memory is freed when a caller disconnects,
+// in whichever stage its request is.
 func TestCallerGone(t *testing.T) {
 	cases := map[string]struct {
 		stream bool
-		// prompt is long enough for the caller to go during the prefill.
+		// prompt, if long, makes the caller disconnect during the prefill.
 		prompt string
-		// readFirst waits for the first byte of the answer.
+		// readFirst is set if the caller reads the start of the answer before it disconnects.
 		readFirst bool
 	}{
 		"while it streams":          {stream: true, prompt: "short", readFirst: true},
@@ -144,7 +144,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			convey.Convey("A caller goes "+name, t, func() {
+			convey.Convey("A caller disconnects "+name, t, func() {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
 				f := startFleet(t, 1)
@@ -166,7 +166,7 @@
 					time.Sleep(time.Millisecond)
 				}
 				convey.So(awaitNoHolds(ctx, f), convey.ShouldEqual, 0)
-				// An answer of 250 tokens and more takes seconds; it was cut.
+				// The answer has at least 250 tokens, which take seconds, so it was cut.
 				tokens := 0
 				for _, w := range f.Ledger.Requests() {
 					tokens += w.Finished
@@ -213,7 +213,7 @@
 				}
 				status, _, body := call(t.Context(), t, http.MethodPost, base+path, header, strings.NewReader(c.body))
 				convey.So(status, convey.ShouldEqual, c.status)
-				refusal := outcome(t, body)
+				refusal := decodeRefusal(t, body)
 				convey.So(refusal.Outcome, convey.ShouldEqual, callerapi.OutcomeNotRun)
 				convey.So(refusal.Message, convey.ShouldStartWith, c.field+" is ")
 				convey.So(refusal.Message, convey.ShouldContainSubstring, "allowed: ")
--- a/tests/integration/config_test.go
+++ b/tests/integration/config_test.go
@@ -14,7 +14,7 @@
 	"runridge.example/runridge/fakes/fleet"
 )
 
-// awaitGeneration waits until each box has a generation in force.
+// awaitGeneration waits until each box has a generation of the table, or a newer one, in force.
 func awaitGeneration(ctx context.Context, t *testing.T, f *fleet.Fleet, generation uint64) {
 	t.Helper()
 	for _, m := range f.Boxes {
@@ -27,8 +27,8 @@
 	}
 }
 
-// change makes one cell different and returns the new generation.
-func change(t *testing.T, f *fleet.Fleet, slots int) uint64 {
+// changeSlots changes one cell of the table and returns the new generation.
+func changeSlots(t *testing.T, f *fleet.Fleet, slots int) uint64 {
 	t.Helper()
 	e, _ := f.Table().Endpoint("lm-porta-decode-1")
 	e.Slots = slots
@@ -45,20 +45,20 @@
 		f := startFleet(t, 8)
 
 		convey.Convey("all put a change into force, with the same content", func() {
-			generation := change(t, f, 33)
+			generation := changeSlots(t, f, 33)
 			awaitGeneration(ctx, t, f, generation)
 			for _, m := range f.Boxes {
 				e, _ := m.Box.Table().Endpoint("lm-porta-decode-1")
 				convey.So(e.Slots, convey.ShouldEqual, 33)
 			}
 		})
-		convey.Convey("a change that one box has read spreads while the platform is out", func() {
+		convey.Convey("a change that one box has read spreads during an outage of the platform", func() {
 			f.Platform.SetDown(true)
 			next := f.Table().WithLeaving("lm-porta-decode-2", true).WithGeneration(f.Platform.Version(follow.ObjectName) + 5)
 			f.Boxes[0].Box.Offer(next)
 			awaitGeneration(ctx, t, f, next.Generation)
 		})
-		convey.Convey("a box that starts on a stale read takes the others' newer table", func() {
+		convey.Convey("a box that starts with a stale read adopts the others' newer table", func() {
 			f.Platform.SetStale(follow.ObjectName, true)
 			f.Platform.SetDown(false)
 			next := f.Table().WithGeneration(f.Platform.Version(follow.ObjectName) + 9)
@@ -71,18 +71,18 @@
 			}
 			convey.So(m.Box.Table().Generation, convey.ShouldEqual, next.Generation)
 		})
-		convey.Convey("a table that is not valid is not put into force", func() {
+		convey.Convey("an invalid table is not put into force", func() {
 			before := f.Boxes[0].Box.Table().Generation
 			f.Platform.Put(follow.ObjectName, []byte(`{"services":[{"name":"x","kind":"none"}]}`))
-			good := change(t, f, 34)
+			good := changeSlots(t, f, 34)
 			awaitGeneration(ctx, t, f, good)
 			convey.So(good, convey.ShouldEqual, before+2)
 		})
 	})
 }
 
-// TestEndpointLeavesWhileServing drains engines under load: nothing is cut and
-// what was marked gets no further work.
+// TestEndpointLeavesWhileServing drains engines while requests are served: none is cut, and the
+// drained engines receive no further work.
 func TestEndpointLeavesWhileServing(t *testing.T) {
 	convey.Convey("An engine leaves", t, func() {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -92,7 +92,7 @@
 		next := f.Table().WithLeaving("lm-porta-decode-1", true).WithLeaving("lm-porta-prefill-1", true)
 		convey.So(f.SetTable(next), convey.ShouldBeNil)
 		awaitGeneration(ctx, t, f, f.Platform.Version(follow.ObjectName))
-		// What was granted before the change may still begin; then no more.
+		// Attempts granted before the change may still begin.
 		awaitServed(ctx, t, f.Boxes[0].Box.CallerAddr(), 3)
 		last := f.Engines["lm-porta-decode-1"].LastAccepted()
 		awaitServed(ctx, t, f.Boxes[1].Box.CallerAddr(), 20)
--- a/tests/integration/failure_test.go
+++ b/tests/integration/failure_test.go
@@ -24,7 +24,7 @@
 	"runridge.example/runridge/transport/operatorhttp"
 )
 
-// program is the router, built once for all tests of processes.
+// program is the path of the router program, built once for all tests that run processes.
 var program string
 
 func TestMain(m *testing.M) {
@@ -44,8 +44,7 @@
 	return m.Run()
 }
 
-// startProcesses starts so many boxes as processes and waits until each is
-// ready.
+// startProcesses starts count boxes as processes and waits until each is ready.
 func startProcesses(ctx context.Context, t *testing.T, count int) (*fleet.Fleet, []*process.Process) {
 	t.Helper()
 	f := startFleet(t, 0)
@@ -59,7 +58,7 @@
 		}
 		t.Cleanup(func() {
 			p.Kill()
-			keepLog(t, p)
+			logOnFailure(t, p)
 		})
 		out = append(out, p)
 	}
@@ -69,8 +68,8 @@
 	return f, out
 }
 
-// keepLog writes a box's log into the output of a test that failed.
-func keepLog(t *testing.T, p *process.Process) {
+// logOnFailure copies a box's log into the output of the test if the test has failed.
+func logOnFailure(t *testing.T, p *process.Process) {
 	if !t.Failed() {
 		return
 	}
@@ -78,7 +77,7 @@
 	t.Logf("log of %s (%v):\n%s", p.Name, err, text)
 }
 
-// awaitStatus waits until an address answers with a status.
+// awaitStatus waits until a URL answers with a status and fails the test when the context ends first.
 func awaitStatus(ctx context.Context, t *testing.T, url string, status int) {
 	t.Helper()
 	for ctx.Err() == nil {
@@ -95,8 +94,8 @@
 	t.Fatalf("%s never answered %d", url, status)
 }
 
-// load sends requests to each process in turn until stopped, and returns what
-// their callers saw, by process.
+// load sends requests to all processes concurrently until stopped; stop returns the results by
+// process name.
 func load(ctx context.Context, processes []*process.Process) (stop func() map[string][]bench.Seen) {
 	ctx, cancel := context.WithCancel(ctx)
 	seen := make(map[string][]bench.Seen)
@@ -107,7 +106,7 @@
 		for worker := range 4 {
 			wait.Go(func() {
 				for n := 0; ctx.Err() == nil; n++ {
-					// A request that was begun is not given up by its caller.
+					// Stopping the load does not cancel requests in flight.
 					s := caller.Do(context.WithoutCancel(ctx), p.CallerAddr, "lm-porta", request(1000*i+100*worker+n))
 					mutex.Lock()
 					seen[p.Name] = append(seen[p.Name], s)
@@ -124,14 +123,14 @@
 	}
 }
 
-// awaitServed sends requests to one box until so many have ended well.
+// awaitServed sends requests to one box until count of them have succeeded.
 func awaitServed(ctx context.Context, t *testing.T, address string, count int) {
 	t.Helper()
 	caller := bench.NewCaller()
 	defer caller.Close()
 	for served := 0; served < count; {
 		if ctx.Err() != nil {
-			t.Fatal("requests are not served again")
+			t.Fatal("timed out before enough requests were served")
 		}
 		if caller.Do(ctx, address, "lm-porta", request(90_000+served)).Outcome == bench.OutcomeFinished {
 			served++
@@ -139,11 +138,11 @@
 	}
 }
 
-// TestBoxKilled kills each of three boxes in turn, so that one of them was
+// TestBoxKilled kills each of three boxes in turn, so that one of them is the
 // home of the group.
 func TestBoxKilled(t *testing.T) {
 	for victim := range 3 {
-		convey.Convey("A box dies in the middle of requests", t, func() {
+		convey.Convey("A box is killed while requests are in flight", t, func() {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
 			f, processes := startProcesses(ctx, t, 3)
@@ -168,11 +167,11 @@
 	}
 }
 
-// TestBoxPaused pauses the boxes in turn for longer than the others wait for
-// it, and lets it go on.
+// TestBoxPaused pauses each of the boxes in turn for longer than the others wait
+// for it, and resumes it.
 func TestBoxPaused(t *testing.T) {
 	for victim := range 3 {
-		convey.Convey("A box stands still and goes on", t, func() {
+		convey.Convey("A box is paused and resumed", t, func() {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
 			f, processes := startProcesses(ctx, t, 3)
@@ -186,8 +185,8 @@
 			seen := stop()
 			for name, all := range seen {
 				for _, s := range all {
-					// A request of the paused box may end truthfully unknown
-					// or failed; none gets a wrong or a broken answer.
+					// A request of the paused box may rightly end as unknown
+					// or failed, but none with a wrong or broken answer.
 					convey.So(s.Outcome, convey.ShouldNotEqual, bench.OutcomeWrong)
 					convey.So(s.Outcome, convey.ShouldNotEqual, bench.OutcomeBroken)
 					if name != processes[victim].Name {
@@ -200,8 +199,8 @@
 	}
 }
 
-// active is how many requests a box says are under way.
-func active(ctx context.Context, t *testing.T, operator string) int {
+// activeRequests returns the number of requests in flight that a box reports to operators.
+func activeRequests(ctx context.Context, t *testing.T, operator string) int {
 	t.Helper()
 	status, _, body := call(ctx, t, http.MethodGet, "http://"+operator+"/status", nil, nil)
 	if status != http.StatusOK {
@@ -214,7 +213,7 @@
 	return s.Active
 }
 
-// TestPlannedStop stops a box while it serves; nothing is cut.
+// TestPlannedStop stops a box while it serves; no request may be cut.
 func TestPlannedStop(t *testing.T) {
 	convey.Convey("A planned stop cuts no request", t, func() {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -231,8 +230,8 @@
 				answered.Add(1)
 			})
 		}
-		// A caller that has not come in by then is not cut off; it is refused.
-		for taken := 0; taken < len(seen); taken = int(answered.Load()) + active(ctx, t, processes[0].OperatorAddr) {
+		// Waits until the box has accepted all requests: one that arrives after the stop is refused, not cut.
+		for taken := 0; taken < len(seen); taken = int(answered.Load()) + activeRequests(ctx, t, processes[0].OperatorAddr) {
 			time.Sleep(time.Millisecond)
 		}
 		convey.So(processes[0].Stop(), convey.ShouldBeNil)
--- a/tests/integration/limit_test.go
+++ b/tests/integration/limit_test.go
@@ -20,36 +20,37 @@
 )
 
 const (
-	// namedLimit is what endpoints of these tests name, in requests a second, limitWindow the
-	// window that the users judge by, and limitBound the most that one may get in any.
+	// namedLimit is the limit that endpoints of these tests announce, in requests per second,
+	// limitWindow the window over which the requirement applies, and limitBound the most requests
+	// that an endpoint may receive in any such window.
 	namedLimit  = 4
 	limitWindow = 4 * time.Second
 	limitBound  = 1.5*namedLimit*4 + 5
-	// toldTime is after how long all boxes have been told.
-	toldTime = 1500 * time.Millisecond
-	// callers is how many send to each box.
-	callers = 4
+	// noticeDelay is how long the load runs before all boxes know the notices of the endpoints.
+	noticeDelay = 1500 * time.Millisecond
+	// callersPerBox is the number of concurrent callers per box.
+	callersPerBox = 4
 )
 
-// callPlain sends a call to a plain service.
+// callPlain sends a request to a plain service.
 func callPlain(ctx context.Context, t *testing.T, m *fleet.Member) {
 	account := map[string]string{callerapi.HeaderAccount: "franquicia"}
 	call(ctx, t, http.MethodPost, "http://"+m.Box.CallerAddr()+"/portal/x", account, strings.NewReader("hello"))
 }
 
-// prompt sends a model request.
-func prompt(caller *bench.Caller) func(ctx context.Context, t *testing.T, m *fleet.Member) {
+// sendPrompt returns a function that sends a model request.
+func sendPrompt(caller *bench.Caller) func(ctx context.Context, t *testing.T, m *fleet.Member) {
 	return func(ctx context.Context, _ *testing.T, m *fleet.Member) {
 		caller.Do(ctx, m.Box.CallerAddr(), "lm-porta", request(0))
 	}
 }
 
-// press has callers send to boxes until it is stopped.
-func press(t *testing.T, send func(ctx context.Context, t *testing.T, m *fleet.Member), boxes ...*fleet.Member) (stop func()) {
+// startLoad sends requests from several callers to each box until it is stopped.
+func startLoad(t *testing.T, send func(ctx context.Context, t *testing.T, m *fleet.Member), boxes ...*fleet.Member) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var sending sync.WaitGroup
 	for _, m := range boxes {
-		for range callers {
+		for range callersPerBox {
 			sending.Go(func() {
 				for ctx.Err() == nil {
 					send(context.WithoutCancel(ctx), t, m)
@@ -63,24 +64,24 @@
 	}
 }
 
-// TestNamedLimitOnOwnInterface is tests/routed's TestNamedLimit on the product's own interface.
+// TestNamedLimitOnOwnInterface is TestNamedLimit of tests/routed on the product's own interface.
 func TestNamedLimitOnOwnInterface(t *testing.T) {
 	caller := bench.NewCaller()
 	defer caller.Close()
 	cases := map[string]struct {
 		send func(ctx context.Context, t *testing.T, m *fleet.Member)
-		// limited names all engines in place of the plain services.
+		// engines is set if the engines announce the limit instead of the plain services.
 		engines bool
-		// ends says that a box ends in the middle.
+		// ends is set if a box stops halfway.
 		ends bool
 	}{
 		"plain services":            {send: callPlain},
-		"engines":                   {send: prompt(caller), engines: true},
-		"engines, while a box ends": {send: prompt(caller), engines: true, ends: true},
+		"engines":                   {send: sendPrompt(caller), engines: true},
+		"engines, while a box ends": {send: sendPrompt(caller), engines: true, ends: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			convey.Convey("Endpoints that name a limit get no more from all boxes together, and that they get", t, func() {
+			convey.Convey("Endpoints that announce a limit receive no more from all boxes together", t, func() {
 				f := startFleet(t, 3)
 				limited := make(map[string]*arrival.Log)
 				for id, e := range f.Engines {
@@ -95,8 +96,8 @@
 						limited[id] = e.Arrivals()
 					}
 				}
-				stop := press(t, c.send, f.Boxes[:2]...)
-				time.Sleep(toldTime)
+				stop := startLoad(t, c.send, f.Boxes[:2]...)
+				time.Sleep(noticeDelay)
 				from := time.Now()
 				time.Sleep(limitWindow / 2)
 				if c.ends {
--- a/tests/integration/path_test.go
+++ b/tests/integration/path_test.go
@@ -19,7 +19,7 @@
 	"runridge.example/runridge/state/example"
 )
 
-// startFleet starts the Bogotá example with so many boxes.
+// startFleet starts the Bogotá example with the given number of boxes.
 func startFleet(t *testing.T, boxes int) *fleet.Fleet {
 	t.Helper()
 	table, _ := example.Table(example.Bogota)
@@ -31,7 +31,8 @@
 	return f
 }
 
-// awaitNoHolds waits until engines keep nothing; the test's own bound ends it.
+// awaitNoHolds waits until no engine has a hold or the context ends, and returns the number of
+// holds left.
 func awaitNoHolds(ctx context.Context, f *fleet.Fleet) int {
 	for f.Held() > 0 && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
@@ -55,7 +56,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 
-		convey.Convey("a request to either box gets its own whole answer", func() {
+		convey.Convey("a request to either box receives its own complete answer", func() {
 			for i, m := range f.Boxes {
 				seen := caller.Do(ctx, m.Box.CallerAddr(), "lm-porta", request(i))
 				convey.So(seen.Reason, convey.ShouldEqual, "")
--- a/tests/integration/poison_test.go
+++ b/tests/integration/poison_test.go
@@ -16,19 +16,19 @@
 	"runridge.example/runridge/state/example"
 )
 
-// The story of tests/routed's TestPoisonRequest, on the product's own interface: a prompt ended
-// each engine that was to read it, and came again under a new id, at any box. The cause is the
-// same: what a box learns of a request is gone with the request. The evidence: each of nine
-// tries ended three engines, as many as a request may have attempts.
+// TestPoisonPrompt is TestPoisonRequest of tests/routed on the product's own interface: a prompt
+// crashes each engine that prefills it and is sent again under a new id at any box. Boxes dropped
+// what they learned of a request when it ended, so each of nine tries crashed three engines: as
+// many as a request may have attempts.
 func TestPoisonPrompt(t *testing.T) {
 	const (
 		poison    = "too much for an engine"
 		tries     = 9
 		mostEnded = 6
 	)
-	convey.Convey("A prompt that ends every engine that is to read it, and comes again, soon reaches none", t, func() {
+	convey.Convey("A prompt that crashes every engine that prefills it, and is sent again, soon reaches none", t, func() {
 		table, _ := example.Table(example.Bogota)
-		f, err := fleet.Start(t.Context(), fleet.Config{Table: table, Boxes: 3, Log: log.Discard(), EndsAt: poison})
+		f, err := fleet.Start(t.Context(), fleet.Config{Table: table, Boxes: 3, Log: log.Discard(), CrashPrompt: poison})
 		convey.So(err, convey.ShouldBeNil)
 		defer f.Stop()
 		caller := bench.NewCaller()
@@ -51,7 +51,7 @@
 			bad := request(0)
 			bad.Prompt = poison
 			caller.Do(ctx, f.Boxes[i%len(f.Boxes)].Box.CallerAddr(), "lm-porta", bad)
-			t.Logf("try %d: %d ends", i+1, ended())
+			t.Logf("try %d: %d crashes", i+1, ended())
 		}
 		convey.So(ended(), convey.ShouldBeLessThanOrEqualTo, mostEnded)
 		for i, m := range f.Boxes {
--- a/tests/layout/layout_test.go
+++ b/tests/layout/layout_test.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package layout checks rules on where things stand in the sources that the
-// linter has no rule for.
+// Package layout checks rules on the structure of the sources that the linter has no rule for.
 package layout
 
 import (
@@ -22,8 +21,8 @@
 
 const root = "../.."
 
-// platformNames are names of the users' platform: headers, paths and fields.
-// They stand in platform/ and in the deploy files, nowhere else.
+// platformNames are names of the users' platform in lower case: headers, paths and fields.
+// Only platform/, tests/ and the deploy files may contain them.
 var platformNames = []string{
 	"x-deadline-ms", "x-token-usage", "x-prefix-hash", "x-server-signature", "x-not-executed",
 	"x-expect-instance", "x-expect-version", "x-kv-source", "x-kv-hold", "x-kv-backup", "x-pin-ms",
@@ -33,8 +32,9 @@
 	"x-cold-ms", "cold_start_s", "cold_per_s", "evacuation", "x-tenant", "api_keys", "rate_per_s", "token_count", "fencing_token", "role_switch_s",
 }
 
-// sources calls each with every Go file under root, as a slash path.
-func sources(t *testing.T, each func(path string)) {
+// forEachSource calls each with the slash-separated path of every Go file under root, except in
+// directories that hold no sources.
+func forEachSource(t *testing.T, each func(path string)) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// literals lists the string literals of a file.
-func literals(t *testing.T, path string) []string {
+// stringLiterals returns the values of all string literals in a Go file.
+func stringLiterals(t *testing.T, path string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return out
 }
 
-// foreign lists the platform's names in a text.
-func foreign(text string) []string {
+// platformNamesIn returns the names of the platform that a text contains.
+func platformNamesIn(text string) []string {
 	var out []string
 	lower := strings.ToLower(text)
 	for _, name := range platformNames {
@@ -89,17 +89,17 @@
 
 func TestPlatformNames(t *testing.T) {
 	convey.Convey("The check itself finds a name", t, func() {
-		convey.So(foreign("see X-Kv-Source"), convey.ShouldResemble, []string{"x-kv-source"})
+		convey.So(platformNamesIn("see X-Kv-Source"), convey.ShouldResemble, []string{"x-kv-source"})
 	})
-	convey.Convey("The platform's names stand in its folder alone", t, func() {
+	convey.Convey("Only platform/ and tests/ contain the platform's names", t, func() {
 		var found []string
-		sources(t, func(path string) {
+		forEachSource(t, func(path string) {
 			rel := strings.TrimPrefix(path, root+"/")
 			if strings.HasPrefix(rel, "platform/") || strings.HasPrefix(rel, "tests/") {
 				return
 			}
-			for _, text := range literals(t, path) {
-				for _, name := range foreign(text) {
+			for _, text := range stringLiterals(t, path) {
+				for _, name := range platformNamesIn(text) {
 					found = append(found, rel+": "+name)
 				}
 			}
@@ -108,7 +108,7 @@
 	})
 }
 
-// lines counts the lines of a file.
+// lines returns the number of lines in a file.
 func lines(t *testing.T, path string) int {
 	t.Helper()
 	file, err := os.Open(path)
@@ -124,9 +124,9 @@
 }
 
 func TestPlatformIsSmall(t *testing.T) {
-	convey.Convey("platform/ is under a tenth of the product's lines, tests and stand-ins apart", t, func() {
+	convey.Convey("platform/ has less than a tenth of the lines of the other product code, without tests and stand-ins", t, func() {
 		platform, product := 0, 0
-		sources(t, func(path string) {
+		forEachSource(t, func(path string) {
 			rel := strings.TrimPrefix(path, root+"/")
 			switch {
 			case strings.HasSuffix(rel, "_test.go"), strings.HasPrefix(rel, "platform/standin/"):
--- a/tests/seed/seed.go
+++ b/tests/seed/seed.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package seed fixes the seed of model-based tests, so that CI gives the same
-// verdict every time. The command line's -rapid flags still win.
+// Package seed fixes the seed of model-based tests, so that CI runs are
+// reproducible. The -rapid flags of the command line still take precedence.
 package seed
 
 import (
@@ -10,12 +10,12 @@
 	"strconv"
 	"testing"
 
-	// The flags set below are this library's.
+	// Registers the flags that set sets.
 	_ "pgregory.net/rapid"
 )
 
-// Run runs a package's tests with a fixed seed and so many checks each; it is
-// for TestMain.
+// Run runs a package's tests with a fixed seed and the given number of checks for each property.
+// It is called from TestMain.
 func Run(m *testing.M, checks int) int {
 	set("rapid.seed", "20261202")
 	set("rapid.checks", strconv.Itoa(checks))
