--- a/tests/routed/cold_test.go
+++ b/tests/routed/cold_test.go
@@ -95,24 +95,24 @@
 // holds for all boxes together.
 func TestColdEndpoints(t *testing.T) {
 	cases := map[string]struct {
-		path string
-		ends []standin.EndpointConfig
+		path      string
+		endpoints []standin.EndpointConfig
 		// untold is set if the endpoints are new and their entries in the store do not say that they are cold.
 		untold bool
 		// stop is set if a box, home of some groups, stops during the flood.
 		stop bool
 	}{
-		"that serve plain requests":                {path: "/safe/x", ends: plainEndpoints()},
-		"that prefill and decode":                  {path: "/stream/x", ends: modelEndpoints()},
-		"that have just appeared and do not tell":  {path: "/safe/x", ends: plainEndpoints(), untold: true},
-		"while their home ends":                    {path: "/safe/x", ends: plainEndpoints(), stop: true},
-		"that prefill and decode while a box ends": {path: "/stream/x", ends: modelEndpoints(), stop: true},
+		"that serve plain requests":                {path: "/safe/x", endpoints: plainEndpoints()},
+		"that prefill and decode":                  {path: "/stream/x", endpoints: modelEndpoints()},
+		"that have just appeared and do not tell":  {path: "/safe/x", endpoints: plainEndpoints(), untold: true},
+		"while their home ends":                    {path: "/safe/x", endpoints: plainEndpoints(), stop: true},
+		"that prefill and decode while a box ends": {path: "/stream/x", endpoints: modelEndpoints(), stop: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey("They receive no more than their limit in any second, but do receive requests", t, func() {
 				s := newColdSite(t, 3)
-				for _, cfg := range c.ends {
+				for _, cfg := range c.endpoints {
 					e := standin.NewEndpoint(cfg)
 					e.Cool(standin.Cold{For: coldPeriod, Bound: coldBound, Untold: c.untold})
 					s.announce(e)
--- a/tests/routed/drain_test.go
+++ b/tests/routed/drain_test.go
@@ -251,9 +251,9 @@
 
 func TestDrainedEnginesGetNoOrders(t *testing.T) {
 	convey.Convey("Of three prefill engines only those outside a drained zone receive orders", t, func() {
-		ends := threePrefills()
-		ends[0].Zone = "zone-b"
-		s := newSite(t, 0, ends...)
+		endpoints := threePrefills()
+		endpoints[0].Zone = "zone-b"
+		s := newSite(t, 0, endpoints...)
 		s.drain("zone-b")
 		for i := range 2 {
 			b := s.start(fmt.Sprintf("box-%d", i+1))
--- a/tests/routed/limit_test.go
+++ b/tests/routed/limit_test.go
@@ -111,29 +111,29 @@
 
 func TestNamedLimit(t *testing.T) {
 	cases := map[string]struct {
-		path string
-		ends []standin.EndpointConfig
+		path      string
+		endpoints []standin.EndpointConfig
 		// limited are the endpoints that announce the limit.
 		limited []string
 		// during, if set, is called halfway; it may stop the last box.
 		during func(s *site)
 	}{
-		"some of the plain ones":     {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2"}},
-		"all of the plain ones":      {path: "/unsafe/x", ends: plainEndpoints(), limited: []string{"p1", "p2", "p3"}},
-		"that prefill":               {path: "/stream/x", ends: modelEndpoints(), limited: []string{"pre1"}},
-		"that decode":                {path: "/resumable/x", ends: modelEndpoints(), limited: []string{"dec1", "dec2"}},
-		"while a box ends":           {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2", "p3"}, during: (*site).stopLastBox},
-		"while a box starts":         {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2", "p3"}, during: (*site).startAnotherBox},
-		"that turn requests away":    {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2"}, during: (*site).rejectRequests},
-		"whose answers are lost":     {path: "/safe/x", ends: plainEndpoints(), limited: []string{"p1", "p2"}, during: (*site).loseAnswers},
-		"that decode, a box ends":    {path: "/stream/x", ends: modelEndpoints(), limited: []string{"dec1", "dec2"}, during: (*site).stopLastBox},
-		"that prefill, a box starts": {path: "/stream/x", ends: modelEndpoints(), limited: []string{"pre1"}, during: (*site).startAnotherBox},
+		"some of the plain ones":     {path: "/safe/x", endpoints: plainEndpoints(), limited: []string{"p1", "p2"}},
+		"all of the plain ones":      {path: "/unsafe/x", endpoints: plainEndpoints(), limited: []string{"p1", "p2", "p3"}},
+		"that prefill":               {path: "/stream/x", endpoints: modelEndpoints(), limited: []string{"pre1"}},
+		"that decode":                {path: "/resumable/x", endpoints: modelEndpoints(), limited: []string{"dec1", "dec2"}},
+		"while a box ends":           {path: "/safe/x", endpoints: plainEndpoints(), limited: []string{"p1", "p2", "p3"}, during: (*site).stopLastBox},
+		"while a box starts":         {path: "/safe/x", endpoints: plainEndpoints(), limited: []string{"p1", "p2", "p3"}, during: (*site).startAnotherBox},
+		"that turn requests away":    {path: "/safe/x", endpoints: plainEndpoints(), limited: []string{"p1", "p2"}, during: (*site).rejectRequests},
+		"whose answers are lost":     {path: "/safe/x", endpoints: plainEndpoints(), limited: []string{"p1", "p2"}, during: (*site).loseAnswers},
+		"that decode, a box ends":    {path: "/stream/x", endpoints: modelEndpoints(), limited: []string{"dec1", "dec2"}, during: (*site).stopLastBox},
+		"that prefill, a box starts": {path: "/stream/x", endpoints: modelEndpoints(), limited: []string{"pre1"}, during: (*site).startAnotherBox},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			convey.Convey("Endpoints that announce a limit receive no more from all boxes together, but do receive requests", t, func() {
-				s := newSite(t, 3, c.ends...)
+				s := newSite(t, 3, c.endpoints...)
 				for _, id := range c.limited {
 					s.endpoints[id].NameLimit(namedLimit)
 				}
--- a/tests/routed/notice_test.go
+++ b/tests/routed/notice_test.go
@@ -23,8 +23,8 @@
 
 // closedCase is a test case in which some endpoints announce that they accept no requests.
 type closedCase struct {
-	path string
-	ends []standin.EndpointConfig
+	path      string
+	endpoints []standin.EndpointConfig
 	// closed are the endpoints that announce it.
 	closed []string
 	// during, if set, is called after that; it may stop the last box.
@@ -35,17 +35,17 @@
 
 func closedCases() map[string]closedCase {
 	return map[string]closedCase{
-		"one of the plain ones":         {path: "/safe/x", ends: plainEndpoints(), closed: []string{"p1"}},
-		"unsafe requests":               {path: "/unsafe/x", ends: plainEndpoints(), closed: []string{"p1", "p2"}},
-		"all of the plain ones":         {path: "/safe/x", ends: plainEndpoints(), closed: []string{"p1", "p2", "p3"}, refused: true},
-		"that prefill":                  {path: "/stream/x", ends: modelEndpoints(), closed: []string{"pre1"}},
-		"that decode":                   {path: "/resumable/x", ends: modelEndpoints(), closed: []string{"dec1"}},
-		"all that decode":               {path: "/resumable/x", ends: modelEndpoints(), closed: []string{"dec1", "dec2"}, refused: true},
-		"while the store is silent":     {path: "/safe/x", ends: plainEndpoints(), closed: []string{"p1"}, during: (*site).silenceStore},
-		"while a box ends":              {path: "/safe/x", ends: plainEndpoints(), closed: []string{"p1", "p2"}, during: (*site).stopLastBox},
-		"while a box starts":            {path: "/safe/x", ends: plainEndpoints(), closed: []string{"p1", "p2"}, during: (*site).startAnotherBox},
-		"that decode, while a box ends": {path: "/stream/x", ends: modelEndpoints(), closed: []string{"dec1"}, during: (*site).stopLastBox},
-		"all, where no home answers":    {path: "/safe/x", ends: plainEndpoints(), closed: []string{"p1", "p2", "p3"}, during: (*site).stopOtherBoxes, refused: true},
+		"one of the plain ones":         {path: "/safe/x", endpoints: plainEndpoints(), closed: []string{"p1"}},
+		"unsafe requests":               {path: "/unsafe/x", endpoints: plainEndpoints(), closed: []string{"p1", "p2"}},
+		"all of the plain ones":         {path: "/safe/x", endpoints: plainEndpoints(), closed: []string{"p1", "p2", "p3"}, refused: true},
+		"that prefill":                  {path: "/stream/x", endpoints: modelEndpoints(), closed: []string{"pre1"}},
+		"that decode":                   {path: "/resumable/x", endpoints: modelEndpoints(), closed: []string{"dec1"}},
+		"all that decode":               {path: "/resumable/x", endpoints: modelEndpoints(), closed: []string{"dec1", "dec2"}, refused: true},
+		"while the store is silent":     {path: "/safe/x", endpoints: plainEndpoints(), closed: []string{"p1"}, during: (*site).silenceStore},
+		"while a box ends":              {path: "/safe/x", endpoints: plainEndpoints(), closed: []string{"p1", "p2"}, during: (*site).stopLastBox},
+		"while a box starts":            {path: "/safe/x", endpoints: plainEndpoints(), closed: []string{"p1", "p2"}, during: (*site).startAnotherBox},
+		"that decode, while a box ends": {path: "/stream/x", endpoints: modelEndpoints(), closed: []string{"dec1"}, during: (*site).stopLastBox},
+		"all, where no home answers":    {path: "/safe/x", endpoints: plainEndpoints(), closed: []string{"p1", "p2", "p3"}, during: (*site).stopOtherBoxes, refused: true},
 	}
 }
 
@@ -64,7 +64,7 @@
 // line for each of them, it waits for two rests and calls judge for each closed endpoint with the
 // time from which the box must comply.
 func (c closedCase) run(t *testing.T, line string, closeOne func(e *standin.Endpoint), judge func(e *standin.Endpoint, told time.Time)) {
-	s := newSite(t, 3, c.ends...)
+	s := newSite(t, 3, c.endpoints...)
 	for _, id := range c.closed {
 		closeOne(s.endpoints[id])
 	}
--- a/tests/routed/poison_test.go
+++ b/tests/routed/poison_test.go
@@ -60,14 +60,14 @@
 
 // waitCrashesDetected waits until the boxes have detected this many crashes and, from crashesToBlock on, until all
 // of them know of the poison request. It gives up after two seconds without failing the test.
-func (s *site) waitCrashesDetected(ends int) {
+func (s *site) waitCrashesDetected(crashes int) {
 	const (
 		pause = 10 * time.Millisecond
 		tries = 200
 	)
 	for range tries {
-		found := strings.Count(s.logs.String(), "msg=endpoint_ended") >= ends
-		if found && (ends < crashesToBlock || s.allBlockPoison()) {
+		found := strings.Count(s.logs.String(), "msg=endpoint_ended") >= crashes
+		if found && (crashes < crashesToBlock || s.allBlockPoison()) {
 			return
 		}
 		time.Sleep(pause)
@@ -240,11 +240,11 @@
 	convey.Convey("A proxy that accepts connections does not hide that the endpoint behind it has crashed", t, func() {
 		f := &endpointProxies{t: t, net: proxy.New(nil), proxies: make(map[string]*proxy.Proxy)}
 		defer f.net.Close()
-		var ends []standin.EndpointConfig
+		var endpoints []standin.EndpointConfig
 		for _, e := range poisonEndpoints(0) {
-			ends = append(ends, f.addProxy(e))
+			endpoints = append(endpoints, f.addProxy(e))
 		}
-		s := newSite(t, 3, ends...)
+		s := newSite(t, 3, endpoints...)
 		f.setTargets(s)
 		ended := 0
 		for try := range poisonRequests {
@@ -267,12 +267,12 @@
 		turns  = 4
 	)
 	convey.Convey("Requests that run beside one that crashes its endpoints are served in the end", t, func() {
-		ends := poisonEndpoints(0)
-		for i := range ends {
-			ends[i].EventGap = 10 * time.Millisecond
-			ends[i].Events = 20
+		endpoints := poisonEndpoints(0)
+		for i := range endpoints {
+			endpoints[i].EventGap = 10 * time.Millisecond
+			endpoints[i].Events = 20
 		}
-		s := newSite(t, 3, ends...)
+		s := newSite(t, 3, endpoints...)
 		var running sync.WaitGroup
 		var served, broken atomic.Int64
 		for i := range others {
--- a/tests/routed/regions_test.go
+++ b/tests/routed/regions_test.go
@@ -72,7 +72,7 @@
 	all := []string{"/safe/x", "/unsafe/x", "/stream/x", "/resumable/x"}
 	cases := map[string]struct {
 		route, account []string
-		ends           []standin.EndpointConfig
+		endpoints      []standin.EndpointConfig
 		paths          []string
 		// fault, if set, causes a fault before the requests are sent.
 		fault func(s *site)
@@ -81,24 +81,24 @@
 		// fails is set if requests may fail.
 		fails bool
 	}{
-		"of the account, all kinds":  {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all, zones: []string{"zone-c"}},
-		"of the route, all kinds":    {route: []string{"south"}, ends: threeZoneEndpoints(), paths: all, zones: []string{"zone-c"}},
-		"both bind":                  {route: []string{"north", "south"}, account: []string{"south", "west"}, ends: threeZoneEndpoints(), paths: all, zones: []string{"zone-c"}},
-		"a group for each zone":      {account: []string{"south"}, ends: manyThreeZoneEndpoints(), paths: all[:2], zones: []string{"zone-c"}},
-		"nothing in common":          {route: []string{"north"}, account: []string{"south"}, ends: threeZoneEndpoints(), paths: all},
-		"no endpoint in the region":  {account: []string{"west"}, ends: threeZoneEndpoints(), paths: all},
-		"groups without the region":  {account: []string{"west"}, ends: manyThreeZoneEndpoints(), paths: all[:2]},
-		"the only zone is drained":   {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all, fault: func(s *site) { s.drain("zone-c"); s.waitDrained("zone-c", true) }},
-		"one of two zones drained":   {account: []string{"north"}, ends: threeZoneEndpoints(), paths: all, zones: []string{"zone-b"}, fault: func(s *site) { s.drain("zone-a"); s.waitDrained("zone-a", true) }},
-		"answers are lost there":     {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all[:2], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.setManner(standin.Lost, "", "zone-c") }},
-		"prefills are turned away":   {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all[2:], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.setManner(standin.Full, "prefill", "zone-c") }},
-		"decodes are turned away":    {account: []string{"south"}, ends: threeZoneEndpoints(), paths: all[2:], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.setManner(standin.Full, "decode", "zone-c") }},
-		"streams are cut and resume": {account: []string{"north"}, ends: threeZoneEndpoints(), paths: all[3:], zones: []string{"zone-a", "zone-b"}, fails: true, fault: func(s *site) { s.setManner(standin.Cut, "decode", "zone-a") }},
+		"of the account, all kinds":  {account: []string{"south"}, endpoints: threeZoneEndpoints(), paths: all, zones: []string{"zone-c"}},
+		"of the route, all kinds":    {route: []string{"south"}, endpoints: threeZoneEndpoints(), paths: all, zones: []string{"zone-c"}},
+		"both bind":                  {route: []string{"north", "south"}, account: []string{"south", "west"}, endpoints: threeZoneEndpoints(), paths: all, zones: []string{"zone-c"}},
+		"a group for each zone":      {account: []string{"south"}, endpoints: manyThreeZoneEndpoints(), paths: all[:2], zones: []string{"zone-c"}},
+		"nothing in common":          {route: []string{"north"}, account: []string{"south"}, endpoints: threeZoneEndpoints(), paths: all},
+		"no endpoint in the region":  {account: []string{"west"}, endpoints: threeZoneEndpoints(), paths: all},
+		"groups without the region":  {account: []string{"west"}, endpoints: manyThreeZoneEndpoints(), paths: all[:2]},
+		"the only zone is drained":   {account: []string{"south"}, endpoints: threeZoneEndpoints(), paths: all, fault: func(s *site) { s.drain("zone-c"); s.waitDrained("zone-c", true) }},
+		"one of two zones drained":   {account: []string{"north"}, endpoints: threeZoneEndpoints(), paths: all, zones: []string{"zone-b"}, fault: func(s *site) { s.drain("zone-a"); s.waitDrained("zone-a", true) }},
+		"answers are lost there":     {account: []string{"south"}, endpoints: threeZoneEndpoints(), paths: all[:2], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.setManner(standin.Lost, "", "zone-c") }},
+		"prefills are turned away":   {account: []string{"south"}, endpoints: threeZoneEndpoints(), paths: all[2:], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.setManner(standin.Full, "prefill", "zone-c") }},
+		"decodes are turned away":    {account: []string{"south"}, endpoints: threeZoneEndpoints(), paths: all[2:], zones: []string{"zone-c"}, fails: true, fault: func(s *site) { s.setManner(standin.Full, "decode", "zone-c") }},
+		"streams are cut and resume": {account: []string{"north"}, endpoints: threeZoneEndpoints(), paths: all[3:], zones: []string{"zone-a", "zone-b"}, fails: true, fault: func(s *site) { s.setManner(standin.Cut, "decode", "zone-a") }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey(name, t, func() {
-				s := newSite(t, 2, c.ends...)
+				s := newSite(t, 2, c.endpoints...)
 				s.configure(configurationWithRegions(2, c.route, c.account))
 				for _, b := range s.boxes {
 					shown := 0
--- a/tests/routed/routed_test.go
+++ b/tests/routed/routed_test.go
@@ -275,20 +275,20 @@
 
 func TestCallerGone(t *testing.T) {
 	cases := map[string]struct {
-		ends []standin.EndpointConfig
-		path string
+		endpoints []standin.EndpointConfig
+		path      string
 		// hangs is the endpoint that does not answer, and spared one that must not
 		// receive the request.
 		hangs, spared string
 	}{
-		"a plain request runs":    {ends: plainEndpoints()[:1], path: "/long/x", hangs: "p1"},
-		"the prompt is prefilled": {ends: modelEndpoints()[:2], path: "/stream/x", hangs: "pre1", spared: "dec1"},
-		"the stream is to begin":  {ends: modelEndpoints()[:2], path: "/stream/x", hangs: "dec1"},
+		"a plain request runs":    {endpoints: plainEndpoints()[:1], path: "/long/x", hangs: "p1"},
+		"the prompt is prefilled": {endpoints: modelEndpoints()[:2], path: "/stream/x", hangs: "pre1", spared: "dec1"},
+		"the stream is to begin":  {endpoints: modelEndpoints()[:2], path: "/stream/x", hangs: "dec1"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			convey.Convey("Work ends when the caller has gone", t, func() {
-				s := newSite(t, 1, c.ends...)
+				s := newSite(t, 1, c.endpoints...)
 				s.endpoints[c.hangs].Behave(standin.Hanging)
 				leaver := s.startRequest(s.boxes[0], c.path, "leaver")
 				s.eventually("the request is at the endpoint", func() bool { return s.endpoints[c.hangs].Sends() == 1 })
--- a/tests/routed/slow_test.go
+++ b/tests/routed/slow_test.go
@@ -144,11 +144,11 @@
 
 func TestCallersThatReadNothing(t *testing.T) {
 	convey.Convey("Answers that nobody reads take no more memory than the box's limit, and others are served", t, func() {
-		ends := plainEndpoints()
-		for i := range ends {
-			ends[i].Bytes = longAnswer
+		endpoints := plainEndpoints()
+		for i := range endpoints {
+			endpoints[i].Bytes = longAnswer
 		}
-		s := heldSite(t, ends...)
+		s := heldSite(t, endpoints...)
 		b := s.boxes[0]
 		before := liveHeap()
 		var unread []net.Conn
@@ -206,14 +206,14 @@
 			events, eventBytes = 300, 64 << 10
 			patience           = 1200 * time.Millisecond
 		)
-		var ends []standin.EndpointConfig
+		var endpoints []standin.EndpointConfig
 		for i := range 3 {
-			ends = append(ends, standin.EndpointConfig{
+			endpoints = append(endpoints, standin.EndpointConfig{
 				ID: fmt.Sprintf("dec%d", i), Service: modelService, Zone: "zone-a", Stage: "decode",
 				Events: events, Bytes: eventBytes, Patience: patience,
 			})
 		}
-		s := heldSite(t, ends...)
+		s := heldSite(t, endpoints...)
 		b := s.boxes[0]
 		c := s.dial(b)
 		id := s.sendPartial(c, "/resumable/a", 1, 0)
