--- a/bench/soak/check/answers.go
+++ b/bench/soak/check/answers.go
@@ -14,12 +14,12 @@
 // checkAnswer compares what one caller saw with what endpoints ran.
 func (v *verifier) checkAnswer(a *Answer) {
 	runs := v.countRuns(a.ID)
-	if a.Status == http.StatusOK && a.Whole {
-		v.report.Note("whole_own_answer", a.Wrong == "", "%s at %s on %s: %s", a.ID, a.Box, a.Route, a.Wrong)
-		v.report.Note("answered_by_a_run", runs > 0, "%s at %s on %s was answered and never ran", a.ID, a.Box, a.Route)
+	if a.Status == http.StatusOK && a.Complete {
+		v.report.Count("whole_own_answer", a.Mismatch == "", "%s at %s on %s: %s", a.ID, a.Box, a.Route, a.Mismatch)
+		v.report.Count("answered_by_a_run", runs > 0, "%s at %s on %s was answered and never ran", a.ID, a.Box, a.Route)
 	}
 	if promisesNotRun(a.Status) {
-		v.report.Note("not_run_is_true", runs == 0, "%s at %s on %s got %d and ran %d times", a.ID, a.Box, a.Route, a.Status, runs)
+		v.report.Count("not_run_is_true", runs == 0, "%s at %s on %s got %d and ran %d times", a.ID, a.Box, a.Route, a.Status, runs)
 	}
 	if a.Status == http.StatusUnauthorized {
 		v.checkRefusedKey(a)
@@ -28,37 +28,37 @@
 	if a.MaxRuns == 1 {
 		name = "once_runs_once"
 	}
-	v.report.Note(name, runs <= a.MaxRuns, "%s at %s on %s ran %d times, allowed %d", a.ID, a.Box, a.Route, runs, a.MaxRuns)
-	if a.Left {
+	v.report.Count(name, runs <= a.MaxRuns, "%s at %s on %s ran %d times, allowed %d", a.ID, a.Box, a.Route, runs, a.MaxRuns)
+	if a.CallerLeft {
 		v.checkAfterCallerLeft(a)
 		return
 	}
 	due := a.Begun.Add(a.Timeout)
 	if !v.faultOverlaps(a.Box, "", a.Begun, due) {
 		over := a.Ended.Sub(due)
-		v.report.Note("answered_in_time", over <= v.bounds.Answered, "%s at %s on %s ended %s after its time", a.ID, a.Box, a.Route, over)
+		v.report.Count("answered_in_time", over <= v.bounds.Answered, "%s at %s on %s ended %s after its time", a.ID, a.Box, a.Route, over)
 	}
 }
 
 // checkRefusedKey checks that a key was refused only if it was withdrawn, or issued so
 // recently that the box need not know it yet.
 func (v *verifier) checkRefusedKey(a *Answer) {
-	for _, c := range v.Keys {
-		if c.What == a.Key && c.At.Before(a.Ended) {
+	for _, c := range v.WithdrawnKeys {
+		if c.Target == a.Key && c.At.Before(a.Ended) {
 			return
 		}
 	}
 	// A key that was not issued during the run has existed since before its start.
 	issued := a.Begun.Add(-beforeRun)
-	for _, c := range v.Given {
-		if c.What == a.Key {
+	for _, c := range v.IssuedKeys {
+		if c.Target == a.Key {
 			issued = c.At
 		}
 	}
-	since, reachable := v.HeardSince(a.Box, issued, a.Begun)
+	since, reachable := v.ReachableSince(a.Box, issued, a.Begun)
 	if reachable {
 		late := a.Begun.Sub(since) - v.bounds.KeyGiven
-		v.report.Note("valid_key_is_taken", late <= 0, "%s at %s: a key of %s was refused at %s, %s after the bound",
+		v.report.Count("valid_key_is_taken", late <= 0, "%s at %s: a key of %s was refused at %s, %s after the bound",
 			a.ID, a.Box, issued.Format(timeFormat), a.Begun.Format(timeFormat), late)
 	}
 }
@@ -80,7 +80,7 @@
 func (v *verifier) countRuns(id string) int {
 	count := 0
 	for _, i := range v.byID[id] {
-		if a := v.Sight.Arrivals[i]; a.Fate == standin.Ran && a.Step == standin.StepRun {
+		if a := v.Observed.Arrivals[i]; a.Fate == standin.Ran && a.Step == standin.StepRun {
 			count++
 		}
 	}
@@ -91,8 +91,8 @@
 func (v *verifier) checkAfterCallerLeft(a *Answer) {
 	until := a.Ended.Add(v.bounds.Gone)
 	for _, i := range v.byID[a.ID] {
-		arrival := v.Sight.Arrivals[i]
-		if v.faultOverlaps(a.Box, PlaceOf(arrival.Endpoint), a.Begun, until) {
+		arrival := v.Observed.Arrivals[i]
+		if v.faultOverlaps(a.Box, EndpointPlace(arrival.Endpoint), a.Begun, until) {
 			continue
 		}
 		ended := arrival.Ended
@@ -100,23 +100,23 @@
 			ended = v.Ended
 		}
 		late := max(arrival.At.Sub(a.Ended), ended.Sub(a.Ended))
-		v.report.Note("nothing_after_caller_left", late <= v.bounds.Gone,
+		v.report.Count("nothing_after_caller_left", late <= v.bounds.Gone,
 			"%s of %s was at %s %s after its caller left %s", a.ID, a.Box, arrival.Endpoint, late, a.Route)
 	}
 }
 
 // checkPrefillResults checks that every prefill result is fetched or freed.
 func (v *verifier) checkPrefillResults() {
-	for _, h := range v.Sight.Handles {
+	for _, h := range v.Observed.Handles {
 		end := h.Ended
 		if end.IsZero() {
 			end = v.Ended
 		}
-		if v.answerInTransit(h) || h.End == standin.Gone || v.faultOverlaps(boxOf(h.ID), PlaceOf(h.Endpoint), h.Made.Add(-Aftermath), end) {
+		if v.answerInTransit(h) || h.End == standin.Gone || v.faultOverlaps(boxOf(h.ID), EndpointPlace(h.Endpoint), h.Made.Add(-EffectTime), end) {
 			continue
 		}
-		left := h.End == "" || h.End == standin.Lapsed
-		v.report.Note("no_handle_left", !left, "%s of %s at %s, made %s, was kept for %s and never fetched or freed",
+		left := h.End == "" || h.End == standin.Expired
+		v.report.Count("no_handle_left", !left, "%s of %s at %s, made %s, was kept for %s and never fetched or freed",
 			h.Name, h.ID, h.Endpoint, h.Made.Format(timeFormat), end.Sub(h.Made))
 	}
 }
@@ -129,7 +129,7 @@
 // left. Its box had then closed the connection and never learned of the result, which expires.
 func (v *verifier) answerInTransit(h standin.Handle) bool {
 	a := v.answers[h.ID]
-	return a != nil && a.Left && h.Made.After(a.Ended.Add(-maxTransit))
+	return a != nil && a.CallerLeft && h.Made.After(a.Ended.Add(-maxTransit))
 }
 
 // timeFormat is the layout of times in details.
@@ -148,21 +148,21 @@
 // number is used by two boxes, and no two boxes alternate within a lease.
 func (v *verifier) checkOrders() {
 	byEndpoint := make(map[string][]standin.TakenOrder)
-	for _, o := range v.Sight.Orders {
+	for _, o := range v.Observed.Orders {
 		byEndpoint[o.Endpoint] = append(byEndpoint[o.Endpoint], o)
 	}
 	for endpoint, orders := range byEndpoint {
 		for i, o := range orders {
 			for _, before := range orders[:i] {
 				same := before.Holder == o.Holder || before.Fence != o.Fence
-				v.report.Note("one_orderer", same, "%s and %s ordered %s with fence %d", before.Holder, o.Holder, endpoint, o.Fence)
+				v.report.Count("one_orderer", same, "%s and %s ordered %s with fence %d", before.Holder, o.Holder, endpoint, o.Fence)
 			}
 			if i < 2 || orders[i-1].Holder == o.Holder {
 				continue
 			}
 			first := orders[i-2]
 			alternated := first.Holder == o.Holder && o.At.Sub(first.At) < v.bounds.Lease
-			v.report.Note("one_orderer", !alternated, "%s and %s took turns at %s within %s", o.Holder, orders[i-1].Holder, endpoint, o.At.Sub(first.At))
+			v.report.Count("one_orderer", !alternated, "%s and %s took turns at %s within %s", o.Holder, orders[i-1].Holder, endpoint, o.At.Sub(first.At))
 		}
 	}
 }
@@ -170,23 +170,23 @@
 // checkChanges checks that withdrawn keys, leaving endpoints and drained zones get no more requests.
 func (v *verifier) checkChanges() {
 	for _, c := range v.Leaving {
-		v.checkNoArrivals("leaving_gets_no_work", c, v.bounds.Leaving, func(a standin.Arrival) bool { return a.Endpoint == c.What })
+		v.checkNoArrivals("leaving_gets_no_work", c, v.bounds.Leaving, func(a standin.Arrival) bool { return a.Endpoint == c.Target })
 	}
 	for _, c := range v.Drained {
-		v.checkNoArrivals("drained_zone_gets_no_work", c, v.bounds.ZoneDrained, func(a standin.Arrival) bool { return a.Zone == c.What })
+		v.checkNoArrivals("drained_zone_gets_no_work", c, v.bounds.ZoneDrained, func(a standin.Arrival) bool { return a.Zone == c.Target })
 	}
-	for _, c := range v.Keys {
+	for _, c := range v.WithdrawnKeys {
 		v.checkNoArrivals("withdrawn_key_gets_nothing", c, v.bounds.KeyWithdrawn, func(a standin.Arrival) bool {
 			sent := v.answers[a.ID]
-			return sent != nil && sent.Key == c.What
+			return sent != nil && sent.Key == c.Target
 		})
 	}
 }
 
 // checkNoArrivals checks all arrivals to which a change applies.
 func (v *verifier) checkNoArrivals(name string, c Change, bound time.Duration, applies func(standin.Arrival) bool) {
-	v.report.Note(name, true, "")
-	for _, a := range v.Sight.Arrivals {
+	v.report.Count(name, true, "")
+	for _, a := range v.Observed.Arrivals {
 		if a.Fate != standin.Misdirected && applies(a) {
 			v.checkArrival(name, c, a, bound)
 		}
@@ -196,16 +196,16 @@
 // checkArrival checks that an arrival came before the bound by which a change must take
 // effect, or after the change was reverted.
 func (v *verifier) checkArrival(name string, c Change, a standin.Arrival, bound time.Duration) {
-	if a.At.Before(c.At) || (!c.Undone.IsZero() && !a.At.Before(c.Undone)) {
+	if a.At.Before(c.At) || (!c.RevertedAt.IsZero() && !a.At.Before(c.RevertedAt)) {
 		return
 	}
-	since, reachable := v.HeardSince(boxOf(a.ID), c.At, a.At)
+	since, reachable := v.ReachableSince(boxOf(a.ID), c.At, a.At)
 	if !reachable {
 		return
 	}
 	late := a.At.Sub(since) - bound
-	v.report.Note(name, late <= 0, "%s reached %s %s after the bound of %s for %s of %s",
-		a.ID, a.Endpoint, late, bound, c.What, c.At.Format(timeFormat))
+	v.report.Count(name, late <= 0, "%s reached %s %s after the bound of %s for %s of %s",
+		a.ID, a.Endpoint, late, bound, c.Target, c.At.Format(timeFormat))
 }
 
 // checkRegions checks that a request is served only in zones that its route and its account
@@ -214,7 +214,7 @@
 	if len(v.Allowed) == 0 {
 		return
 	}
-	for _, a := range v.Sight.Arrivals {
+	for _, a := range v.Observed.Arrivals {
 		if a.Fate == standin.Misdirected {
 			continue
 		}
@@ -231,7 +231,7 @@
 			for _, z := range zones {
 				allowed = allowed || z == a.Zone
 			}
-			v.report.Note("allowed_regions", allowed, "%s of %s reached %s in %s", a.ID, name, a.Endpoint, a.Zone)
+			v.report.Count("allowed_regions", allowed, "%s of %s reached %s in %s", a.ID, name, a.Endpoint, a.Zone)
 		}
 	}
 }
--- a/bench/soak/check/check.go
+++ b/bench/soak/check/check.go
@@ -16,19 +16,19 @@
 	// MaxRuns is how many times its route allows the request to run.
 	MaxRuns int
 	Status  int
-	// Whole is true if the answer was complete according to its framing. Wrong
+	// Complete is true if the answer was complete according to its framing. Mismatch
 	// describes what is wrong with its content, or is empty.
-	Whole bool
-	Wrong string
+	Complete bool
+	Mismatch string
 	// Timeout is the time limit that its route sets for the request.
 	Timeout      time.Duration
 	Begun, Ended time.Time
-	// Left is true if the caller gave up, at Ended.
-	Left bool
+	// CallerLeft is true if the caller gave up, at Ended.
+	CallerLeft bool
 	// Poison names the poison request that this is one attempt of, or is empty.
 	Poison string
-	// TakenForPoison is true if the box refused it as a poison request.
-	TakenForPoison bool
+	// RefusedAsPoison is true if the box refused it as a poison request.
+	RefusedAsPoison bool
 }
 
 // Fault is one fault as it was injected.
@@ -44,11 +44,11 @@
 
 // Change is an operator action that must take effect within a bound.
 type Change struct {
-	// What is the key, zone or endpoint that must receive no more requests.
-	What string
-	At   time.Time
-	// Undone is when the action was reverted; zero if it never was.
-	Undone time.Time
+	// Target is the key, zone or endpoint that must receive no more requests.
+	Target string
+	At     time.Time
+	// RevertedAt is when the action was reverted; zero if it never was.
+	RevertedAt time.Time
 }
 
 // Quota is the quota of an account from a time on.
@@ -73,13 +73,13 @@
 
 // Record holds everything observed during a run.
 type Record struct {
-	Answers []Answer
-	Sight   standin.Sight
-	Faults  []Fault
-	// Keys are the withdrawn keys, Leaving the endpoints that left, Drained the drained
-	// zones, and Given the keys that were issued while callers were sending.
-	Keys, Leaving, Drained, Given []Change
-	Quotas                        []Quota
+	Answers  []Answer
+	Observed standin.LedgerSnapshot
+	Faults   []Fault
+	// WithdrawnKeys are the withdrawn keys, Leaving the endpoints that left, Drained the drained
+	// zones, and IssuedKeys the keys that were issued while callers were sending.
+	WithdrawnKeys, Leaving, Drained, IssuedKeys []Change
+	Quotas                                      []Quota
 	// Allowed lists the zones that may serve a route or an account, by its name. A route
 	// or account without an entry may be served in any zone.
 	Allowed map[string][]string
@@ -95,12 +95,12 @@
 	answers map[string]*Answer
 }
 
-// Judge checks a record against every promise, by comparing what callers saw with what
+// Verify checks a record against every promise, by comparing what callers saw with what
 // endpoints saw, and counts the trials and violations in the report.
-func Judge(r Record, b Bounds, report *Report) {
+func Verify(r Record, b Bounds, report *Report) {
 	v := &verifier{Record: r, bounds: b, report: report, byID: make(map[string][]int), answers: make(map[string]*Answer)}
-	slices.SortStableFunc(v.Sight.Arrivals, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
-	for i, a := range v.Sight.Arrivals {
+	slices.SortStableFunc(v.Observed.Arrivals, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
+	for i, a := range v.Observed.Arrivals {
 		v.byID[a.ID] = append(v.byID[a.ID], i)
 	}
 	for i := range v.Answers {
@@ -119,8 +119,8 @@
 	v.checkClosed()
 }
 
-// PlaceOf returns the place of an endpoint: its id without the trailing start number.
-func PlaceOf(endpoint string) string {
+// EndpointPlace returns the place of an endpoint: its id without the trailing start number.
+func EndpointPlace(endpoint string) string {
 	for i := len(endpoint) - 1; i > 0; i-- {
 		if endpoint[i] == '-' {
 			return endpoint[:i]
@@ -129,16 +129,16 @@
 	return endpoint
 }
 
-// Aftermath is how long after the end of a fault its effects are still attributed to it.
+// EffectTime is how long after the end of a fault its effects are still attributed to it.
 // Within this time boxes discard state and connections from before the end.
-const Aftermath = 2 * time.Second
+const EffectTime = 2 * time.Second
 
 // faultOverlaps reports whether a fault, or its aftermath, affected a box or a place
 // between two times.
 func (v *verifier) faultOverlaps(box, place string, from, to time.Time) bool {
 	return slices.ContainsFunc(v.Faults, func(f Fault) bool {
 		affects := f.Machine || slices.Contains(f.Boxes, box) || (place != "" && f.Place == place)
-		return affects && f.From.Before(to) && f.To.Add(Aftermath).After(from)
+		return affects && f.From.Before(to) && f.To.Add(EffectTime).After(from)
 	})
 }
 
@@ -147,10 +147,10 @@
 	return slices.ContainsFunc(r.Faults, func(f Fault) bool { return f.Machine && f.From.Before(to) && f.To.After(from) })
 }
 
-// HeardSince returns the time from which on a box could have known of a change that was
+// ReachableSince returns the time from which on a box could have known of a change that was
 // accepted at a given time: the end of the last fault that affected the box, the store or the
 // whole machine. It returns false if such a fault still lasts at the time asked.
-func (r *Record) HeardSince(box string, accepted, asked time.Time) (time.Time, bool) {
+func (r *Record) ReachableSince(box string, accepted, asked time.Time) (time.Time, bool) {
 	for extended := true; extended; {
 		extended = false
 		for _, f := range r.Faults {
--- a/bench/soak/check/check_test.go
+++ b/bench/soak/check/check_test.go
@@ -40,7 +40,7 @@
 // goodAnswer returns an answer, at 70 ms, to a request sent at 0 ms that breaks no promise.
 func goodAnswer() Answer {
 	return Answer{
-		ID: id, Box: "box-1", Route: "unsafe", Key: "key", MaxRuns: 1, Status: http.StatusOK, Whole: true,
+		ID: id, Box: "box-1", Route: "unsafe", Key: "key", MaxRuns: 1, Status: http.StatusOK, Complete: true,
 		Timeout: time.Second, Begun: at(0), Ended: at(70),
 	}
 }
@@ -62,7 +62,7 @@
 	var out Record
 	for i, from := range times {
 		a := runArrival(fmt.Sprintf("box-1.poison-%d", i), from)
-		out.Sight.Arrivals = append(out.Sight.Arrivals, a)
+		out.Observed.Arrivals = append(out.Observed.Arrivals, a)
 		out.Answers = append(out.Answers, Answer{
 			ID: a.ID, Box: "box-1", Route: "safe", Poison: "poison", MaxRuns: 2, Timeout: time.Second, Begun: a.At, Ended: a.Ended,
 		})
@@ -85,12 +85,12 @@
 		return []Answer{a}
 	}
 	leftAt := func(ms int) []Answer {
-		return with(func(a *Answer) { a.Left, a.Whole, a.Status, a.Ended = true, false, 0, at(ms) })
+		return with(func(a *Answer) { a.CallerLeft, a.Complete, a.Status, a.Ended = true, false, 0, at(ms) })
 	}
 	long := runArrival(id, 10)
 	long.Ended = at(900)
 	prefill := standin.Arrival{ID: id, Endpoint: "model1-1", Step: standin.StepPrefill, Fate: standin.Ran, At: at(1), Ended: at(9)}
-	handle := standin.Handle{Name: "h", Endpoint: "model1-1", ID: id, Made: at(9), Ended: at(5009), End: standin.Lapsed}
+	handle := standin.Handle{Name: "h", Endpoint: "model1-1", ID: id, Made: at(9), Ended: at(5009), End: standin.Expired}
 	limited := func(a *standin.Arrival) { a.Account = "limited" }
 	quota := []Quota{{Account: "limited", Rate: 10, Burst: 10, From: at(-1000)}}
 	cold := func(a *standin.Arrival) { a.Cold = time.Second }
@@ -101,64 +101,64 @@
 		record Record
 		broken string
 	}{
-		"no violation":                {Record{Answers: []Answer{goodAnswer()}, Sight: standin.Sight{Arrivals: []standin.Arrival{prefill, runArrival(id, 10)}}}, ""},
-		"another's answer":            {Record{Answers: with(func(a *Answer) { a.Wrong = "x" }), Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}}}, "whole_own_answer"},
+		"no violation":                {Record{Answers: []Answer{goodAnswer()}, Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{prefill, runArrival(id, 10)}}}, ""},
+		"another's answer":            {Record{Answers: with(func(a *Answer) { a.Mismatch = "x" }), Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 10)}}}, "whole_own_answer"},
 		"answered without a run":      {Record{Answers: []Answer{goodAnswer()}}, "answered_by_a_run"},
-		"refused and ran":             {Record{Answers: with(func(a *Answer) { a.Status = 503 }), Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}}}, "not_run_is_true"},
-		"refused with a prompt read":  {Record{Answers: with(func(a *Answer) { a.Status = 503 }), Sight: standin.Sight{Arrivals: []standin.Arrival{prefill}}}, ""},
-		"ran twice":                   {Record{Answers: []Answer{goodAnswer()}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10), runArrival(id, 20)}}}, "once_runs_once"},
-		"ran three times":             {Record{Answers: with(func(a *Answer) { a.MaxRuns = 2 }), Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10), runArrival(id, 20), runArrival(id, 30)}}}, "runs_bounded"},
-		"late":                        {Record{Answers: with(func(a *Answer) { a.Ended = at(1600) }), Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}}}, "answered_in_time"},
-		"work continues after caller": {Record{Answers: leftAt(300), Sight: standin.Sight{Arrivals: []standin.Arrival{long}}}, "nothing_after_caller_left"},
-		"ends soon after caller":      {Record{Answers: leftAt(500), Sight: standin.Sight{Arrivals: []standin.Arrival{long}}}, ""},
+		"refused and ran":             {Record{Answers: with(func(a *Answer) { a.Status = 503 }), Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 10)}}}, "not_run_is_true"},
+		"refused with a prompt read":  {Record{Answers: with(func(a *Answer) { a.Status = 503 }), Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{prefill}}}, ""},
+		"ran twice":                   {Record{Answers: []Answer{goodAnswer()}, Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 10), runArrival(id, 20)}}}, "once_runs_once"},
+		"ran three times":             {Record{Answers: with(func(a *Answer) { a.MaxRuns = 2 }), Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 10), runArrival(id, 20), runArrival(id, 30)}}}, "runs_bounded"},
+		"late":                        {Record{Answers: with(func(a *Answer) { a.Ended = at(1600) }), Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 10)}}}, "answered_in_time"},
+		"work continues after caller": {Record{Answers: leftAt(300), Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{long}}}, "nothing_after_caller_left"},
+		"ends soon after caller":      {Record{Answers: leftAt(500), Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{long}}}, ""},
 		"work continues during fault": {Record{
-			Answers: leftAt(300), Sight: standin.Sight{Arrivals: []standin.Arrival{long}},
+			Answers: leftAt(300), Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{long}},
 			Faults: []Fault{{Boxes: []string{"box-1"}, From: at(0), To: at(400)}},
 		}, ""},
-		"handle left":              {Record{Answers: []Answer{goodAnswer()}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}, Handles: []standin.Handle{handle}}}, "no_handle_left"},
-		"handle answer in transit": {Record{Answers: leftAt(5), Sight: standin.Sight{Handles: []standin.Handle{handle}}}, ""},
-		"two boxes, one fence":     {Record{Sight: standin.Sight{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 1, 9000)}}}, "one_orderer"},
-		"boxes alternate":          {Record{Sight: standin.Sight{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 2, 100), order("a", 3, 2000)}}}, "one_orderer"},
-		"boxes alternate slowly":   {Record{Sight: standin.Sight{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 2, 100), order("a", 3, 4000)}}}, ""},
-		"quota kept":               {Record{Quotas: quota, Sight: standin.Sight{Arrivals: arrivals(119, limited)}}, ""},
-		"quota granted twice":      {Record{Quotas: quota, Sight: standin.Sight{Arrivals: arrivals(120, limited)}}, "quota"},
-		"cold pace kept":           {Record{Sight: standin.Sight{Arrivals: arrivals(20, cold)}}, ""},
-		"cold pace exceeded":       {Record{Sight: standin.Sight{Arrivals: arrivals(21, cold)}}, "cold_pace"},
-		"retries":                  {Record{Sight: standin.Sight{Arrivals: arrivals(4, func(a *standin.Arrival) { a.ID = id; a.Fate = standin.TurnedAway })}}, "retry_budget"},
+		"handle left":              {Record{Answers: []Answer{goodAnswer()}, Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 10)}, Handles: []standin.Handle{handle}}}, "no_handle_left"},
+		"handle answer in transit": {Record{Answers: leftAt(5), Observed: standin.LedgerSnapshot{Handles: []standin.Handle{handle}}}, ""},
+		"two boxes, one fence":     {Record{Observed: standin.LedgerSnapshot{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 1, 9000)}}}, "one_orderer"},
+		"boxes alternate":          {Record{Observed: standin.LedgerSnapshot{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 2, 100), order("a", 3, 2000)}}}, "one_orderer"},
+		"boxes alternate slowly":   {Record{Observed: standin.LedgerSnapshot{Orders: []standin.TakenOrder{order("a", 1, 0), order("b", 2, 100), order("a", 3, 4000)}}}, ""},
+		"quota kept":               {Record{Quotas: quota, Observed: standin.LedgerSnapshot{Arrivals: arrivals(119, limited)}}, ""},
+		"quota granted twice":      {Record{Quotas: quota, Observed: standin.LedgerSnapshot{Arrivals: arrivals(120, limited)}}, "quota"},
+		"cold pace kept":           {Record{Observed: standin.LedgerSnapshot{Arrivals: arrivals(20, cold)}}, ""},
+		"cold pace exceeded":       {Record{Observed: standin.LedgerSnapshot{Arrivals: arrivals(21, cold)}}, "cold_pace"},
+		"retries":                  {Record{Observed: standin.LedgerSnapshot{Arrivals: arrivals(4, func(a *standin.Arrival) { a.ID = id; a.Fate = standin.TurnedAway })}}, "retry_budget"},
 		"leaving endpoint": {Record{
-			Leaving: []Change{{What: "plain1-1", At: at(0)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 3100)}},
+			Leaving: []Change{{Target: "plain1-1", At: at(0)}}, Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 3100)}},
 		}, "leaving_gets_no_work"},
 		"leaving endpoint, store unavailable": {Record{
-			Leaving: []Change{{What: "plain1-1", At: at(0)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 3100)}},
+			Leaving: []Change{{Target: "plain1-1", At: at(0)}}, Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 3100)}},
 			Faults: []Fault{{Store: true, From: at(-100), To: at(300)}},
 		}, ""},
 		"zone drained late": {Record{
-			Drained: []Change{{What: "zone-a", At: at(0), Undone: at(9000)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 5100)}},
+			Drained: []Change{{Target: "zone-a", At: at(0), RevertedAt: at(9000)}}, Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 5100)}},
 		}, "drained_zone_gets_no_work"},
 		"zone drain ended": {Record{
-			Drained: []Change{{What: "zone-a", At: at(0), Undone: at(9000)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 9000)}},
+			Drained: []Change{{Target: "zone-a", At: at(0), RevertedAt: at(9000)}}, Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 9000)}},
 		}, ""},
 		"withdrawn key": {Record{
-			Answers: []Answer{goodAnswer()}, Keys: []Change{{What: "key", At: at(-5000)}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}},
+			Answers: []Answer{goodAnswer()}, WithdrawnKeys: []Change{{Target: "key", At: at(-5000)}}, Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 10)}},
 		}, "withdrawn_key_gets_nothing"},
 		"valid key refused": {Record{
-			Answers: with(func(a *Answer) { a.Status = 401 }), Given: []Change{{What: "key", At: at(-9000)}},
+			Answers: with(func(a *Answer) { a.Status = 401 }), IssuedKeys: []Change{{Target: "key", At: at(-9000)}},
 		}, "valid_key_is_taken"},
 		"new key refused": {Record{
-			Answers: with(func(a *Answer) { a.Status = 401 }), Given: []Change{{What: "key", At: at(-1000)}},
+			Answers: with(func(a *Answer) { a.Status = 401 }), IssuedKeys: []Change{{Target: "key", At: at(-1000)}},
 		}, ""},
 		"fixed key refused": {Record{Answers: with(func(a *Answer) { a.Status = 401 })}, "valid_key_is_taken"},
 		"withdrawn key refused": {Record{
-			Answers: with(func(a *Answer) { a.Status = 401 }), Keys: []Change{{What: "key", At: at(-1000)}},
+			Answers: with(func(a *Answer) { a.Status = 401 }), WithdrawnKeys: []Change{{Target: "key", At: at(-1000)}},
 		}, ""},
 		"poison rejected in time":          {poisonRecord(0, 100, 200, 300, 1000, 2000, 3200), ""},
 		"poison arrives three times":       {poisonRecord(0, 100, 200, 3300, 4000, 5000), ""},
 		"poison arrives four times":        {poisonRecord(0, 100, 200, 3300, 4000, 5000, 6000), "poison_contained"},
 		"poison at a box that was cut off": {withFault(poisonRecord(0, 100, 200, 3300, 4000, 5000, 6000), Fault{Boxes: []string{"box-1"}, From: at(3000), To: at(4000)}), ""},
-		"other request refused as poison":  {Record{Answers: with(func(a *Answer) { a.Status, a.TakenForPoison = 503, true })}, "poison_spares_others"},
-		"poison refused as poison":         {Record{Answers: with(func(a *Answer) { a.Status, a.TakenForPoison, a.Poison = 503, true, "poison" })}, ""},
+		"other request refused as poison":  {Record{Answers: with(func(a *Answer) { a.Status, a.RefusedAsPoison = 503, true })}, "poison_spares_others"},
+		"poison refused as poison":         {Record{Answers: with(func(a *Answer) { a.Status, a.RefusedAsPoison, a.Poison = 503, true, "poison" })}, ""},
 		"another region": {Record{
-			Answers: []Answer{goodAnswer()}, Allowed: map[string][]string{"unsafe": {"zone-b"}}, Sight: standin.Sight{Arrivals: []standin.Arrival{runArrival(id, 10)}},
+			Answers: []Answer{goodAnswer()}, Allowed: map[string][]string{"unsafe": {"zone-b"}}, Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{runArrival(id, 10)}},
 		}, "allowed_regions"},
 	}
 	for name, c := range cases {
@@ -166,7 +166,7 @@
 			convey.Convey(name, t, func() {
 				var report Report
 				c.record.Ended = at(10_000)
-				Judge(c.record, bounds(), &report)
+				Verify(c.record, bounds(), &report)
 				convey.So(report.Violations(), convey.ShouldEqual, report.Broken(c.broken))
 				if c.broken != "" {
 					convey.So(report.Broken(c.broken), convey.ShouldBeGreaterThan, 0)
@@ -181,9 +181,9 @@
 func closedRecord(change func(a *standin.Arrival), later ...int) Record {
 	first := runArrival("box-1.0", 0)
 	change(&first)
-	out := Record{Sight: standin.Sight{Arrivals: []standin.Arrival{first}}}
+	out := Record{Observed: standin.LedgerSnapshot{Arrivals: []standin.Arrival{first}}}
 	for i, ms := range later {
-		out.Sight.Arrivals = append(out.Sight.Arrivals, runArrival(fmt.Sprintf("box-1.%d", i+1), ms))
+		out.Observed.Arrivals = append(out.Observed.Arrivals, runArrival(fmt.Sprintf("box-1.%d", i+1), ms))
 	}
 	return out
 }
@@ -200,10 +200,10 @@
 		"leaves, fault at the box":      {record: withFault(closedRecord(leaves, 3100), Fault{Boxes: []string{"box-1"}, From: at(1000), To: at(1500)})},
 		"leaves, sent in time": {record: func() Record {
 			r := closedRecord(leaves, 3100)
-			r.Answers = []Answer{{ID: "box-1.1", Box: "box-1", Begun: at(3000), Ended: at(3200), Status: 200, Whole: true, MaxRuns: 1, Timeout: 5 * time.Second}}
+			r.Answers = []Answer{{ID: "box-1.1", Box: "box-1", Begun: at(3000), Ended: at(3200), Status: 200, Complete: true, MaxRuns: 1, Timeout: 5 * time.Second}}
 			return r
 		}()},
-		"leaves, another box sends": {record: func() Record { r := closedRecord(leaves, 3100); r.Sight.Arrivals[1].ID = "box-2.1"; return r }()},
+		"leaves, another box sends": {record: func() Record { r := closedRecord(leaves, 3100); r.Observed.Arrivals[1].ID = "box-2.1"; return r }()},
 		"rests, requests in flight": {record: closedRecord(rests, 60, 100, 300, 540)},
 		"rests, two requests":       {record: closedRecord(rests, 600, 700)},
 		"rests, three requests":     {record: closedRecord(rests, 600, 700, 2000), broken: "rest"},
@@ -214,7 +214,7 @@
 		t.Run(name, func(t *testing.T) {
 			var report Report
 			c.record.Ended = at(60_000)
-			Judge(c.record, bounds(), &report)
+			Verify(c.record, bounds(), &report)
 			for _, check := range []string{"said_it_leaves", "rest"} {
 				if broken := report.Broken(check) > 0; broken != (check == c.broken) {
 					t.Errorf("%s broken: %v, want %q alone", check, broken, c.broken)
@@ -226,7 +226,7 @@
 
 // limitRecord returns runs of count requests of a box, 40 ms apart, at an endpoint that names a limit.
 func limitRecord(count int, limit float64) Record {
-	return Record{Ended: at(60_000), Sight: standin.Sight{Arrivals: arrivals(count, func(a *standin.Arrival) {
+	return Record{Ended: at(60_000), Observed: standin.LedgerSnapshot{Arrivals: arrivals(count, func(a *standin.Arrival) {
 		a.At = start.Add(4 * a.At.Sub(start))
 		a.Ended, a.Limit = a.At.Add(5*time.Millisecond), limit
 	})}}
@@ -250,7 +250,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var report Report
-			Judge(c.record, bounds(), &report)
+			Verify(c.record, bounds(), &report)
 			if broken := report.Broken("named_limit") > 0; broken != c.broken {
 				t.Errorf("broken: %v, want %v", broken, c.broken)
 			}
--- a/bench/soak/check/closed.go
+++ b/bench/soak/check/closed.go
@@ -23,7 +23,7 @@
 // they leave, or that they want a rest.
 func (v *verifier) checkClosed() {
 	arrivals := make(map[noticePair][]standin.Arrival)
-	for _, a := range v.Sight.Arrivals {
+	for _, a := range v.Observed.Arrivals {
 		if a.Fate != standin.Misdirected {
 			key := noticePair{endpoint: a.Endpoint, box: boxOf(a.ID)}
 			arrivals[key] = append(arrivals[key], a)
@@ -55,11 +55,11 @@
 		if late <= 0 || v.faultOverlaps(key.box, "", answer.Ended, a.At) {
 			continue
 		}
-		v.report.Note("said_it_leaves", false, "%s reached %s, sent %s after the bound of %s for its answer to %s",
+		v.report.Count("said_it_leaves", false, "%s reached %s, sent %s after the bound of %s for its answer to %s",
 			a.ID, key.endpoint, late, v.bounds.Leaving, answer.ID)
 		return
 	}
-	v.report.Note("said_it_leaves", true, "")
+	v.report.Count("said_it_leaves", true, "")
 }
 
 // checkDuringRest checks the number of arrivals during a rest that an answer asked for.
@@ -71,6 +71,6 @@
 			count++
 		}
 	}
-	v.report.Note("rest", count <= maxRestArrivals, "%s got %d from %s in the rest of %s from %s on",
+	v.report.Count("rest", count <= maxRestArrivals, "%s got %d from %s in the rest of %s from %s on",
 		key.endpoint, count, key.box, answer.Rest, answer.Ended.Format(timeFormat))
 }
--- a/bench/soak/check/limit.go
+++ b/bench/soak/check/limit.go
@@ -26,7 +26,7 @@
 		v.checkLimit(endpoint, named[endpoint])
 		delete(named, endpoint)
 	}
-	for _, a := range v.Sight.Arrivals {
+	for _, a := range v.Observed.Arrivals {
 		switch {
 		case a.Fate == standin.Misdirected:
 		case a.Limit > 0:
@@ -62,7 +62,7 @@
 	}
 	forEachWindow(enforced, limitWindow, func(at time.Time, count int) {
 		allowed := limitOverage*v.highestLimit(arrivals, at)*limitWindow.Seconds() + limitSlack
-		v.report.Note("named_limit", float64(count) <= allowed, "%s got %d of %.1f in the window up to %s", endpoint, count, allowed, at.Format(timeFormat))
+		v.report.Count("named_limit", float64(count) <= allowed, "%s got %d of %.1f in the window up to %s", endpoint, count, allowed, at.Format(timeFormat))
 	})
 }
 
--- a/bench/soak/check/poison.go
+++ b/bench/soak/check/poison.go
@@ -23,11 +23,11 @@
 	arrivalsOf := make(map[string][]standin.Arrival)
 	for _, a := range v.Answers {
 		if a.Poison == "" {
-			v.report.Note("poison_spares_others", !a.TakenForPoison, "%s at %s on %s was refused as a poison request", a.ID, a.Box, a.Route)
+			v.report.Count("poison_spares_others", !a.RefusedAsPoison, "%s at %s on %s was refused as a poison request", a.ID, a.Box, a.Route)
 			continue
 		}
 		for _, i := range v.byID[a.ID] {
-			arrivalsOf[a.Poison] = append(arrivalsOf[a.Poison], v.Sight.Arrivals[i])
+			arrivalsOf[a.Poison] = append(arrivalsOf[a.Poison], v.Observed.Arrivals[i])
 		}
 	}
 	for name, arrivals := range arrivalsOf {
@@ -39,7 +39,7 @@
 				late++
 			}
 		}
-		v.report.Note("poison_contained", late <= maxKnownArrivals, "%s ended %d endpoints, and arrived %d times after %s, when all had to know it",
+		v.report.Count("poison_contained", late <= maxKnownArrivals, "%s ended %d endpoints, and arrived %d times after %s, when all had to know it",
 			name, ends, late, known.Format(timeFormat))
 	}
 }
--- a/bench/soak/check/report.go
+++ b/bench/soak/check/report.go
@@ -31,9 +31,9 @@
 	promises map[string]*Promise
 }
 
-// Note counts one trial of a promise. If it was not kept, it counts a violation too and
+// Count counts one trial of a promise. If it was not kept, it counts a violation too and
 // formats a detail of it.
-func (r *Report) Note(name string, kept bool, format string, args ...any) {
+func (r *Report) Count(name string, kept bool, format string, args ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.promises == nil {
--- a/bench/soak/check/windows.go
+++ b/bench/soak/check/windows.go
@@ -18,7 +18,7 @@
 	}
 	used := make(map[string][]time.Time)
 	counted := make(map[string]bool)
-	for _, a := range v.Sight.Arrivals {
+	for _, a := range v.Observed.Arrivals {
 		if len(quotas[a.Account]) == 0 || a.Fate != standin.Ran || counted[a.ID] {
 			continue
 		}
@@ -29,7 +29,7 @@
 		forEachWindow(times, v.bounds.QuotaWindow, func(at time.Time, count int) {
 			q := v.highestQuota(quotas[account], at.Add(-v.bounds.QuotaWindow), at)
 			limit := (q.Rate*v.bounds.QuotaWindow.Seconds()+q.Burst)*(1+v.bounds.QuotaOverage) + v.bounds.QuotaSlack
-			v.report.Note("quota", float64(count) <= limit, "%s used %d of %.0f in the window up to %s", account, count, limit, at.Format(timeFormat))
+			v.report.Count("quota", float64(count) <= limit, "%s used %d of %.0f in the window up to %s", account, count, limit, at.Format(timeFormat))
 		})
 	}
 }
@@ -87,7 +87,7 @@
 	for _, arrivals := range v.byID {
 		prefills, runs := 0, 0
 		for _, i := range arrivals {
-			a := v.Sight.Arrivals[i]
+			a := v.Observed.Arrivals[i]
 			serviceOf[a.ID] = a.Service
 			earlier := &runs
 			if a.Step == standin.StepPrefill {
@@ -109,7 +109,7 @@
 		slices.SortFunc(c.requests, time.Time.Compare)
 		forEachWindow(c.repeated, v.bounds.RetryWindow, func(at time.Time, count int) {
 			limit := v.bounds.RetryRatio*float64(v.maxRequests(c.requests, at)) + v.bounds.RetrySlack
-			v.report.Note("retry_budget", float64(count) <= limit, "%s got %d further arrivals of %.0f in the window up to %s",
+			v.report.Count("retry_budget", float64(count) <= limit, "%s got %d further arrivals of %.0f in the window up to %s",
 				name, count, limit, at.Format(timeFormat))
 		})
 	}
@@ -134,7 +134,7 @@
 		return
 	}
 	reached := make(map[string][]time.Time)
-	for _, a := range v.Sight.Arrivals {
+	for _, a := range v.Observed.Arrivals {
 		if a.Cold > 0 && a.Fate != standin.Misdirected {
 			reached[a.Endpoint] = append(reached[a.Endpoint], a.At)
 		}
@@ -142,7 +142,7 @@
 	limit := v.bounds.ColdPace*v.bounds.ColdOverage + v.bounds.ColdSlack
 	for endpoint, times := range reached {
 		forEachWindow(times, time.Second, func(at time.Time, count int) {
-			v.report.Note("cold_pace", float64(count) <= limit, "%s got %d of %.1f in the second up to %s while cold",
+			v.report.Count("cold_pace", float64(count) <= limit, "%s got %d of %.1f in the second up to %s while cold",
 				endpoint, count, limit, at.Format(timeFormat))
 		})
 	}
--- a/bench/soak/completions/completions.go
+++ b/bench/soak/completions/completions.go
@@ -111,7 +111,7 @@
 // execute injects the faults of the schedule and waits until the last one has ended.
 func (r *run) execute(ctx context.Context) {
 	start := time.Now()
-	for _, e := range schedule.Make(schedule.Config{
+	for _, e := range schedule.Draw(schedule.Config{
 		Seed: r.cfg.Seed, Boxes: r.cfg.Boxes, Places: len(r.fleet.Engines), Faults: r.cfg.Faults, End: r.cfg.Length, Kinds: Kinds(),
 	}) {
 		time.Sleep(time.Until(start.Add(e.At)))
@@ -227,7 +227,7 @@
 func (r *run) checkResults() {
 	held := bench.AwaitFree(r.fleet)
 	work := r.fleet.Ledger.Requests()
-	note := r.result.Report.Note
+	note := r.result.Report.Count
 	r.result.Requests = len(r.observed)
 	note("no_hold_left", held == 0, "%d attempts are held at the end", held)
 	for _, s := range r.observed {
--- a/bench/soak/completions/faults.go
+++ b/bench/soak/completions/faults.go
@@ -79,7 +79,7 @@
 		return
 	case schedule.BoxStopped:
 		err := p.Stop()
-		r.result.Report.Note("planned_stop", err == nil, "%s: %v", p.Name, err)
+		r.result.Report.Count("planned_stop", err == nil, "%s: %v", p.Name, err)
 	default:
 		s, err := statusOf(p)
 		p.Kill()
@@ -98,7 +98,7 @@
 		time.Sleep(pollInterval)
 	}
 	took := time.Since(died)
-	r.result.Report.Note("orphans_gone", took < orphanBound, "holds of %s stay for %s", box, took)
+	r.result.Report.Count("orphans_gone", took < orphanBound, "holds of %s stay for %s", box, took)
 }
 
 func (r *run) hasHolds(box string, incarnation uint64) bool {
@@ -121,7 +121,7 @@
 		r.mutex.Unlock()
 		err = awaitReady(ctx, next)
 	}
-	r.result.Report.Note("restart", err == nil, "%s: %v", p.Name, err)
+	r.result.Report.Count("restart", err == nil, "%s: %v", p.Name, err)
 	if err == nil {
 		r.generationOf(next)
 		r.release(p.Name)
@@ -136,7 +136,7 @@
 	r.fleet.Engines[name].Kill()
 	time.Sleep(engineDown)
 	err := r.fleet.RestartEngine(name)
-	r.result.Report.Note("engine_restart", err == nil, "%s: %v", name, err)
+	r.result.Report.Count("engine_restart", err == nil, "%s: %v", name, err)
 	r.release(name)
 }
 
@@ -176,14 +176,14 @@
 	e.Slots = minSlots + int(draw%slotJitter)
 	err := r.fleet.SetTable(t.WithEndpoint(e))
 	r.mutex.Unlock()
-	r.result.Report.Note("table_change", err == nil, "%v", err)
+	r.result.Report.Count("table_change", err == nil, "%v", err)
 	generation := r.fleet.Platform.Version(follow.ObjectName)
 	start := time.Now()
 	for time.Since(start) < 2*tableBound && !r.allInForce(generation) {
 		time.Sleep(pollInterval)
 	}
 	took := time.Since(start)
-	r.result.Report.Note("config_in_force", took <= tableBound, "%d took %s", generation, took)
+	r.result.Report.Count("config_in_force", took <= tableBound, "%d took %s", generation, took)
 }
 
 // allInForce reports whether every available box has a generation in force.
@@ -217,7 +217,7 @@
 	r.mutex.Lock()
 	r.newestGeneration[p.Name] = max(r.newestGeneration[p.Name], s.Generation)
 	r.mutex.Unlock()
-	r.result.Report.Note("config_never_older", s.Generation >= old, "%s went from %d to %d", p.Name, old, s.Generation)
+	r.result.Report.Count("config_never_older", s.Generation >= old, "%s went from %d to %d", p.Name, old, s.Generation)
 	return s.Generation, true
 }
 
@@ -238,7 +238,7 @@
 		since, reachable = r.reachableSince(marked)
 	}
 	last := r.fleet.Engines[engine].LastAccepted()
-	r.result.Report.Note("leaving_gets_no_work", !last.After(since.Add(leavingBound)), "%s took work %s after it was known to leave", engine, last.Sub(since))
+	r.result.Report.Count("leaving_gets_no_work", !last.After(since.Add(leavingBound)), "%s took work %s after it was known to leave", engine, last.Sub(since))
 	r.setLeaving(engine, false)
 }
 
@@ -246,6 +246,6 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	err := r.fleet.SetTable(r.fleet.Table().WithLeaving(engine, leaving))
-	r.result.Report.Note("table_change", err == nil, "%v", err)
+	r.result.Report.Count("table_change", err == nil, "%v", err)
 	return err == nil
 }
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -177,7 +177,7 @@
 			o.rate = minRate + float64(e.Draw%rateJitter)
 		}
 	})
-	r.report.Note("table_accepted", err == nil, "%s: %v", e.Kind, err)
+	r.report.Count("table_accepted", err == nil, "%s: %v", e.Kind, err)
 }
 
 // drainZone drains an availability zone and ends the drain when the event ends.
@@ -189,11 +189,11 @@
 	}
 	r.mutex.Lock()
 	i := len(r.record.Drained)
-	r.record.Drained = append(r.record.Drained, check.Change{What: zone, At: time.Now()})
+	r.record.Drained = append(r.record.Drained, check.Change{Target: zone, At: time.Now()})
 	r.mutex.Unlock()
 	sleepUntil(ctx, time.Now().Add(e.For))
 	r.mutex.Lock()
-	r.record.Drained[i].Undone = time.Now()
+	r.record.Drained[i].RevertedAt = time.Now()
 	r.mutex.Unlock()
 	_ = r.site.call("Drain", standin.Act{Place: zone}, &standin.None{})
 }
--- a/bench/soak/judge.go
+++ b/bench/soak/judge.go
@@ -17,7 +17,7 @@
 // checkPlannedStops checks that planned stops break no answer of a request that an endpoint ran.
 func (r *run) checkPlannedStops() {
 	arrivals := make(map[string]string)
-	for _, a := range r.record.Sight.Arrivals {
+	for _, a := range r.record.Observed.Arrivals {
 		if a.Fate == standin.Ran && a.Step == standin.StepRun {
 			arrivals[a.ID] = a.Endpoint
 		}
@@ -27,13 +27,13 @@
 			continue
 		}
 		for _, a := range r.record.Answers {
-			if a.Box != f.Boxes[0] || a.Left || a.Ended.Before(f.From) || a.Begun.After(f.To) || arrivals[a.ID] == "" {
+			if a.Box != f.Boxes[0] || a.CallerLeft || a.Ended.Before(f.From) || a.Begun.After(f.To) || arrivals[a.ID] == "" {
 				continue
 			}
-			if r.otherFaultOverlaps(i, a, check.PlaceOf(arrivals[a.ID])) {
+			if r.otherFaultOverlaps(i, a, check.EndpointPlace(arrivals[a.ID])) {
 				continue
 			}
-			r.report.Note("stop_breaks_nothing", a.Status == http.StatusOK && a.Whole, "%s on %s begun %s after the stop of %s, ended %s after it, got %d",
+			r.report.Count("stop_breaks_nothing", a.Status == http.StatusOK && a.Complete, "%s on %s begun %s after the stop of %s, ended %s after it, got %d",
 				a.ID, a.Route, a.Begun.Sub(f.From), a.Box, a.Ended.Sub(f.From), a.Status)
 		}
 	}
@@ -45,7 +45,7 @@
 	return slices.ContainsFunc(r.record.Faults, func(f check.Fault) bool {
 		same := f.Kind == r.record.Faults[index].Kind && f.From.Equal(r.record.Faults[index].From)
 		affects := f.Machine || f.Place == place || slices.Contains(f.Boxes, a.Box)
-		return !same && affects && f.From.Before(a.Ended) && f.To.Add(check.Aftermath).After(a.Begun)
+		return !same && affects && f.From.Before(a.Ended) && f.To.Add(check.EffectTime).After(a.Begun)
 	})
 }
 
@@ -79,12 +79,12 @@
 		}
 		g := Goodput{Kind: f.Kind, Box: f.Boxes[0]}
 		for _, a := range r.record.Answers {
-			included := a.Begun.After(f.From) && a.Begun.Before(f.To) && a.Box != g.Box && !a.Left && a.Key != limitedKey && a.Poison == ""
+			included := a.Begun.After(f.From) && a.Begun.Before(f.To) && a.Box != g.Box && !a.CallerLeft && a.Key != limitedKey && a.Poison == ""
 			if !included || a.Status == http.StatusUnauthorized {
 				continue
 			}
 			g.Asked++
-			if a.Status == http.StatusOK && a.Whole {
+			if a.Status == http.StatusOK && a.Complete {
 				g.Success++
 			}
 		}
@@ -92,7 +92,7 @@
 			continue
 		}
 		r.result.Goodput = append(r.result.Goodput, g)
-		r.report.Note("goodput_with_one_box_away", float64(g.Success) >= minGoodput*float64(g.Asked), "%s of %s: %d of %d", g.Kind, g.Box, g.Success, g.Asked)
+		r.report.Count("goodput_with_one_box_away", float64(g.Success) >= minGoodput*float64(g.Asked), "%s of %s: %d of %d", g.Kind, g.Box, g.Success, g.Asked)
 	}
 }
 
@@ -102,7 +102,7 @@
 	f := r.record.Faults[index]
 	for i, o := range r.record.Faults {
 		affects := len(o.Boxes) > 0 || o.Place != "" || o.Store || o.Machine
-		if i != index && affects && o.From.Before(f.To) && o.To.Add(check.Aftermath).After(f.From) {
+		if i != index && affects && o.From.Before(f.To) && o.To.Add(check.EffectTime).After(f.From) {
 			return true
 		}
 	}
@@ -114,9 +114,9 @@
 func (r *run) checkProcess(b *box) {
 	select {
 	case <-b.current().Done():
-		r.report.Note("runs_until_stopped", false, "the process of %s ended on its own", b.name)
+		r.report.Count("runs_until_stopped", false, "the process of %s ended on its own", b.name)
 	default:
-		r.report.Note("runs_until_stopped", true, "")
+		r.report.Count("runs_until_stopped", true, "")
 	}
 }
 
@@ -125,6 +125,6 @@
 	for _, b := range r.boxes {
 		r.checkProcess(b)
 		text, err := b.current().Log()
-		r.report.Note("no_key_in_logs", err == nil && !strings.Contains(text, "-of-the-soak"), "the log of %s holds a key (%v)", b.name, err)
+		r.report.Count("no_key_in_logs", err == nil && !strings.Contains(text, "-of-the-soak"), "the log of %s holds a key (%v)", b.name, err)
 	}
 }
--- a/bench/soak/load.go
+++ b/bench/soak/load.go
@@ -120,9 +120,9 @@
 	a.Begun = time.Now()
 	exchange(ctx, client, ask, &a)
 	a.Ended = time.Now()
-	a.Left = leaves && ctx.Err() != nil && !a.Whole
+	a.CallerLeft = leaves && ctx.Err() != nil && !a.Complete
 	r.recordAnswer(a)
-	if a.Status != http.StatusOK && !a.Left {
+	if a.Status != http.StatusOK && !a.CallerLeft {
 		time.Sleep(failurePause)
 	}
 }
@@ -131,7 +131,7 @@
 func exchange(ctx context.Context, client *http.Client, ask standin.Ask, a *check.Answer) {
 	req, err := ask.Request(ctx)
 	if err != nil {
-		a.Wrong = err.Error()
+		a.Mismatch = err.Error()
 		return
 	}
 	resp, err := client.Do(req)
@@ -141,10 +141,10 @@
 	defer func() { _ = resp.Body.Close() }()
 	a.Status = resp.StatusCode
 	body, err := io.ReadAll(resp.Body)
-	a.Whole = err == nil
-	a.TakenForPoison = strings.Contains(string(body), string(lifecycle.ReasonPoison))
-	if a.Status == http.StatusOK && a.Whole {
-		a.Wrong = mismatch(a, standin.Signer(resp.Header), string(body))
+	a.Complete = err == nil
+	a.RefusedAsPoison = strings.Contains(string(body), string(lifecycle.ReasonPoison))
+	if a.Status == http.StatusOK && a.Complete {
+		a.Mismatch = mismatch(a, standin.Signer(resp.Header), string(body))
 	}
 }
 
--- a/bench/soak/operator.go
+++ b/bench/soak/operator.go
@@ -139,12 +139,12 @@
 		r.record.Quotas = append(r.record.Quotas, check.Quota{Account: accountLimited, Rate: o.rate, Burst: o.rate, From: now})
 	}
 	newest := o.rotating[len(o.rotating)-1]
-	if !slices.ContainsFunc(r.record.Given, func(c check.Change) bool { return c.What == newest }) {
-		r.record.Given = append(r.record.Given, check.Change{What: newest, At: now})
+	if !slices.ContainsFunc(r.record.IssuedKeys, func(c check.Change) bool { return c.Target == newest }) {
+		r.record.IssuedKeys = append(r.record.IssuedKeys, check.Change{Target: newest, At: now})
 	}
 	for i, key := range o.rotating[:len(o.rotating)-1] {
-		if !slices.ContainsFunc(r.record.Keys, func(c check.Change) bool { return c.What == key }) {
-			r.record.Keys = append(r.record.Keys, check.Change{What: rotatingKey(i), At: now})
+		if !slices.ContainsFunc(r.record.WithdrawnKeys, func(c check.Change) bool { return c.Target == key }) {
+			r.record.WithdrawnKeys = append(r.record.WithdrawnKeys, check.Change{Target: rotatingKey(i), At: now})
 		}
 	}
 	return nil
--- a/bench/soak/poison.go
+++ b/bench/soak/poison.go
@@ -65,9 +65,9 @@
 // restartCrashed restarts, in the background, the endpoints that requests have crashed since
 // the last call.
 func (r *run) restartCrashed(ctx context.Context) {
-	var crashed []standin.Fallen
+	var crashed []standin.CrashedEndpoint
 	if err := r.site.call("Fallen", standin.None{}, &crashed); err != nil {
-		r.report.Note("endpoint_restart", false, "%v", err)
+		r.report.Count("endpoint_restart", false, "%v", err)
 	}
 	for _, f := range crashed {
 		finish := r.recordFault(check.Fault{Kind: string(schedule.PoisonRequest), Place: f.Place, From: f.At})
@@ -80,7 +80,7 @@
 
 // restartEndpoint removes the entry of an endpoint that a request has crashed and starts a new
 // endpoint, unless another fault has done so meanwhile.
-func (r *run) restartEndpoint(ctx context.Context, f standin.Fallen) {
+func (r *run) restartEndpoint(ctx context.Context, f standin.CrashedEndpoint) {
 	p := r.placeNamed(f.Place)
 	p.reserved <- struct{}{}
 	defer func() { <-p.reserved }()
--- a/bench/soak/schedule/schedule.go
+++ b/bench/soak/schedule/schedule.go
@@ -192,8 +192,8 @@
 		e.At.Seconds(), e.Kind, e.For.Seconds(), e.Box, e.Other, e.Place, e.Draw)
 }
 
-// Away reports whether the event's box can't serve while the event lasts.
-func (e Event) Away() bool { return kindSpecs[e.Kind].unavailable }
+// Unavailable reports whether the event's box can't serve while the event lasts.
+func (e Event) Unavailable() bool { return kindSpecs[e.Kind].unavailable }
 
 // Config holds the seed and the limits of a schedule.
 type Config struct {
@@ -205,8 +205,8 @@
 	Kinds      []Kind
 }
 
-// Make draws a schedule, sorted by start time.
-func Make(cfg Config) []Event {
+// Draw draws a schedule, sorted by start time.
+func Draw(cfg Config) []Event {
 	d := generator{cfg: cfg, random: rand.New(rand.NewPCG(cfg.Seed, 1))}
 	times := make([]time.Duration, cfg.Faults)
 	for i := range times {
--- a/bench/soak/schedule/schedule_test.go
+++ b/bench/soak/schedule/schedule_test.go
@@ -16,17 +16,17 @@
 
 func TestMake(t *testing.T) {
 	convey.Convey("A seed always gives the same schedule, and another seed a different one", t, func() {
-		convey.So(Make(config(1)), convey.ShouldResemble, Make(config(1)))
-		convey.So(Make(config(1)), convey.ShouldNotResemble, Make(config(2)))
+		convey.So(Draw(config(1)), convey.ShouldResemble, Draw(config(1)))
+		convey.So(Draw(config(1)), convey.ShouldNotResemble, Draw(config(2)))
 	})
 	convey.Convey("Every kind is drawn, and a majority of the boxes is available at every moment", t, func() {
-		events := Make(config(3))
+		events := Draw(config(3))
 		seen := make(map[Kind]int)
 		for i, e := range events {
 			seen[e.Kind]++
 			away := 0
 			for _, o := range events[:i] {
-				if o.Away() && o.At+o.For >= e.At {
+				if o.Unavailable() && o.At+o.For >= e.At {
 					away++
 				}
 			}
--- a/bench/soak/signals.go
+++ b/bench/soak/signals.go
@@ -33,7 +33,7 @@
 	took := time.Since(start)
 	r.markStopped(b)
 	bound := time.Duration(float64(stopTime) * r.cfg.Room)
-	r.report.Note("planned_stop", err == nil && took <= bound, "%s took %s, %v", b.name, took, err)
+	r.report.Count("planned_stop", err == nil && took <= bound, "%s took %s, %v", b.name, took, err)
 	r.startAgain(ctx, b)
 }
 
@@ -43,7 +43,7 @@
 	if err == nil {
 		err = b.awaitReady(ctx)
 	}
-	r.report.Note("restart", err == nil, "%v", err)
+	r.report.Count("restart", err == nil, "%v", err)
 }
 
 // killBox kills a box and starts it again when the event ends.
@@ -91,7 +91,7 @@
 	if e.Draw%2 == 0 {
 		s.LogLevel = r.cfg.LogLevel
 	}
-	r.report.Note("reload", b.hangUp(s) == nil, "%s: settings not written or signal not sent", b.name)
+	r.report.Count("reload", b.hangUp(s) == nil, "%s: settings not written or signal not sent", b.name)
 }
 
 // hangUp writes settings and sends the process a SIGHUP.
@@ -119,7 +119,7 @@
 }
 
 // mannerOf is how endpoints answer during a kind of fault.
-var mannerOf = map[schedule.Kind]standin.Manner{
+var mannerOf = map[schedule.Kind]standin.AnswerMode{
 	schedule.EndpointSlow: standin.Slow, schedule.EndpointMute: standin.Hanging, schedule.EndpointFull: standin.Full,
 	schedule.EndpointFailing: standin.Failing, schedule.EndpointLost: standin.Lost, schedule.EndpointBroken: standin.Cut,
 	schedule.EndpointTwice: standin.Extra,
@@ -219,11 +219,11 @@
 	}
 	r.mutex.Lock()
 	i := len(r.record.Leaving)
-	r.record.Leaving = append(r.record.Leaving, check.Change{What: id, At: time.Now()})
+	r.record.Leaving = append(r.record.Leaving, check.Change{Target: id, At: time.Now()})
 	r.mutex.Unlock()
 	sleepUntil(ctx, time.Now().Add(e.For))
 	r.mutex.Lock()
-	r.record.Leaving[i].Undone = time.Now()
+	r.record.Leaving[i].RevertedAt = time.Now()
 	r.mutex.Unlock()
 	_ = r.site.call("Leave", standin.Act{Place: p.Name}, &id)
 }
@@ -277,6 +277,6 @@
 func (r *run) startEndpoint(p *endpointPlace, other string) {
 	var address string
 	err := r.site.call("Start", standin.Act{Place: p.Name, Other: other}, &address)
-	r.report.Note("endpoint_restart", err == nil, "%s: %v", p.Name, err)
+	r.report.Count("endpoint_restart", err == nil, "%s: %v", p.Name, err)
 	p.link.SetTarget(address)
 }
--- a/bench/soak/soak.go
+++ b/bench/soak/soak.go
@@ -103,7 +103,7 @@
 	}
 	defer r.stopAll()
 	r.execute(ctx)
-	if err := r.site.call("See", standin.None{}, &r.record.Sight); err != nil {
+	if err := r.site.call("See", standin.None{}, &r.record.Observed); err != nil {
 		return r.result, err
 	}
 	r.record.Ended = time.Now()
@@ -114,7 +114,7 @@
 // Schedule draws the schedule of a run.
 func Schedule(cfg Config) []schedule.Event {
 	last := max(cfg.Length-warmUp-recovery-recoveredTime, minFaultTime) + warmUp
-	return schedule.Make(schedule.Config{
+	return schedule.Draw(schedule.Config{
 		Seed: cfg.Seed, Boxes: cfg.Boxes, Places: len(layout()),
 		Begin: warmUp, End: last, Faults: cfg.Faults, Kinds: cfg.Kinds,
 	})
--- a/bench/soak/watch.go
+++ b/bench/soak/watch.go
@@ -97,7 +97,7 @@
 		north := []string{zones[0], zones[1]}
 		r.record.Allowed = map[string][]string{routeNorth: north, accountNorth: north}
 	}
-	check.Judge(r.record, bounds, r.report)
+	check.Verify(r.record, bounds, r.report)
 	r.checkTables()
 	r.checkRecovery()
 	r.checkPlannedStops()
@@ -123,13 +123,13 @@
 	for _, s := range r.samples {
 		before, known := highest[s.box]
 		older := known && s.older(before.generation, before.version)
-		r.report.Note("table_never_older", !older, "%s went from %d (version %d) to %d (version %d)",
+		r.report.Count("table_never_older", !older, "%s went from %d (version %d) to %d (version %d)",
 			s.box, before.generation, before.version, s.generation, s.version)
 		if !older {
 			highest[s.box] = s
 		}
 		for _, t := range r.tables {
-			since, reachable := r.record.HeardSince(s.box, t.at, s.asked)
+			since, reachable := r.record.ReachableSince(s.box, t.at, s.asked)
 			if !s.older(t.revision, uint64(t.version)) || !reachable || s.asked.Sub(since) <= bound {
 				continue
 			}
@@ -141,12 +141,12 @@
 	}
 	for _, b := range r.boxes {
 		for _, t := range r.tables {
-			r.report.Note("table_in_force", !late[b.name][t.revision], "%s does not have table %d of %s in force after %s", b.name, t.revision, t.at.Format(time.StampMilli), bound)
+			r.report.Count("table_in_force", !late[b.name][t.revision], "%s does not have table %d of %s in force after %s", b.name, t.revision, t.at.Format(time.StampMilli), bound)
 		}
 	}
 	for _, a := range r.record.Answers {
 		if a.Status == http.StatusNotFound {
-			r.report.Note("table_never_older", false, "%s got %d on %s at %s, which knew the route before", a.ID, a.Status, a.Route, a.Box)
+			r.report.Count("table_never_older", false, "%s got %d on %s at %s, which knew the route before", a.ID, a.Status, a.Route, a.Box)
 		}
 	}
 }
@@ -161,11 +161,11 @@
 		}
 	}
 	from := last.Add(recovery)
-	served := func(a check.Answer) bool { return a.Status == http.StatusOK && a.Whole }
+	served := func(a check.Answer) bool { return a.Status == http.StatusOK && a.Complete }
 	for _, a := range r.record.Answers {
-		if a.Begun.Before(from) || a.Left || a.Status == http.StatusUnauthorized || (a.Key == limitedKey && a.Status == http.StatusTooManyRequests) {
+		if a.Begun.Before(from) || a.CallerLeft || a.Status == http.StatusUnauthorized || (a.Key == limitedKey && a.Status == http.StatusTooManyRequests) {
 			continue
 		}
-		r.report.Note("recovered", served(a) || r.record.Stalled(a.Begun, a.Ended), "%s on %s begun %s after the last fault got %d", a.ID, a.Route, a.Begun.Sub(last), a.Status)
+		r.report.Count("recovered", served(a) || r.record.Stalled(a.Begun, a.Ended), "%s on %s begun %s after the last fault got %d", a.ID, a.Route, a.Begun.Sub(last), a.Status)
 	}
 }
--- a/box/assemble.go
+++ b/box/assemble.go
@@ -142,7 +142,7 @@
 		View: member.Config{
 			Self: member.Box{
 				Name: s.Name, Address: b.advertised(), Zone: s.Zone,
-				Start: o.Incarnation, Incarnation: o.Incarnation, Wire: uint16(boxwire.VersionNow),
+				Start: o.Incarnation, Incarnation: o.Incarnation, Wire: uint16(boxwire.VersionCurrent),
 			},
 			Regions: b.regions,
 			Period:  o.ProbePeriod,
@@ -154,9 +154,9 @@
 		Poll:     o.PollBoxes,
 		OnChange: b.membersChanged,
 		OnPause: func() {
-			b.homes.Paused()
+			b.homes.NotePause()
 			b.pauseRouted()
-			b.keeper.Distrust()
+			b.keeper.ReportGap()
 		},
 		Log: o.Log,
 	})
--- a/box/box.go
+++ b/box/box.go
@@ -154,7 +154,7 @@
 		regions:  locality.New(s.Regions),
 	}
 	b.notices = notice.New(notice.Config{
-		OnLimit: func(l schedule.EngineLimit) { b.router.TellLimit(l) },
+		OnLimit: func(l schedule.EngineLimit) { b.router.SendLimit(l) },
 		Born:    b.bornOf,
 		Log:     o.Log,
 	})
@@ -251,12 +251,12 @@
 // Table returns the table in force.
 func (b *Box) Table() table.Table { return b.follower.Table() }
 
-// Offer receives a table as if another box had sent it.
-func (b *Box) Offer(t table.Table) { b.follower.Offer(t) }
+// ReceiveTable receives a table as if another box had sent it.
+func (b *Box) ReceiveTable(t table.Table) { b.follower.Offer(t) }
 
-// Heard receives the stamp of the table that another box has in force, as messages between
+// ReceiveStamp receives the stamp of the table that another box has in force, as messages between
 // boxes carry it.
-func (b *Box) Heard(from string, own table.Stamp) { b.follower.Heard(from, own) }
+func (b *Box) ReceiveStamp(from string, own table.Stamp) { b.follower.Heard(from, own) }
 
 // Active returns the number of requests in flight, including those whose callers have not
 // read the whole answer yet.
--- a/box/drain.go
+++ b/box/drain.go
@@ -15,15 +15,15 @@
 // newDrains creates the keeper of the drained zones.
 func (b *Box) newDrains() *drain.Keeper {
 	return drain.New(drain.Config{
-		Self:     b.settings.Name,
-		Source:   b.routed.platform,
-		Peers:    b.others,
-		Ranked:   b.nearRanked,
-		Tree:     b.tree,
-		Heads:    b.heads,
-		Reads:    b.routed.discoverer.Reading,
-		OnChange: b.setDrained,
-		Log:      b.options.Log,
+		Self:          b.settings.Name,
+		Source:        b.routed.platform,
+		Peers:         b.others,
+		Ranked:        b.nearRanked,
+		Tree:          b.tree,
+		RegionEntries: b.regionEntries,
+		Reads:         b.routed.discoverer.Reading,
+		OnChange:      b.setDrained,
+		Log:           b.options.Log,
 	})
 }
 
@@ -42,10 +42,10 @@
 // than it can answer.
 const listReadJitter = 3 * time.Second
 
-// platformReturned makes the box check, after a random delay, whether it is still on the
+// platformRestored makes the box check, after a random delay, whether it is still on the
 // platform's list of boxes.
-func (b *Box) platformReturned() {
-	time.AfterFunc(rand.N(listReadJitter), b.members.ReadAgain)
+func (b *Box) platformRestored() {
+	time.AfterFunc(rand.N(listReadJitter), b.members.RereadList)
 }
 
 // drainedVersion returns the version of the drained zones that this box knows.
--- a/box/measured.go
+++ b/box/measured.go
@@ -119,10 +119,10 @@
 	return o, err
 }
 
-// GetOld reads an object; what it returns may be some seconds old.
-func (m meteredPlatform) GetOld(ctx context.Context, name string) (adapter.Object, error) {
+// GetStale reads an object; what it returns may be some seconds old.
+func (m meteredPlatform) GetStale(ctx context.Context, name string) (adapter.Object, error) {
 	begin := time.Now()
-	o, err := m.RelayPlatform.GetOld(ctx, name)
+	o, err := m.RelayPlatform.GetStale(ctx, name)
 	m.record("get_old", begin, err)
 	return o, err
 }
--- a/box/quarantine.go
+++ b/box/quarantine.go
@@ -16,15 +16,15 @@
 // newQuarantine creates the keeper that detects poison requests.
 func (b *Box) newQuarantine() *quarantine.Keeper {
 	return quarantine.New(quarantine.Config{
-		Self:    b.settings.Name,
-		Prober:  reach.Prober{},
-		Find:    b.findEndpoint,
-		Peers:   b.others,
-		Ranked:  b.nearRanked,
-		Tree:    b.tree,
-		Heads:   b.heads,
-		Metrics: b.metrics,
-		Log:     b.options.Log,
+		Self:          b.settings.Name,
+		Prober:        reach.Prober{},
+		Find:          b.findEndpoint,
+		Peers:         b.others,
+		Ranked:        b.nearRanked,
+		Tree:          b.tree,
+		RegionEntries: b.regionEntries,
+		Metrics:       b.metrics,
+		Log:           b.options.Log,
 	})
 }
 
--- a/box/regions.go
+++ b/box/regions.go
@@ -62,8 +62,8 @@
 	return list != nil && (len(list) <= 1 || b.spread.Load().Len() > 1)
 }
 
-// heads returns the boxes that receive updates on behalf of the other regions.
-func (b *Box) heads(key string) []string { return b.spread.Load().Heads(key) }
+// regionEntries returns the boxes that receive updates on behalf of the other regions.
+func (b *Box) regionEntries(key string) []string { return b.spread.Load().RegionEntries(key) }
 
 // reportFlows logs the bytes sent to other boxes at each interval, and once more when the
 // context ends.
--- a/box/repeat.go
+++ b/box/repeat.go
@@ -50,7 +50,7 @@
 	case *boxwire.Reply:
 		b.claimer.Replied(m.Body)
 	case *boxwire.Join:
-		dedupMessages{b}.send(from, &boxwire.Piece{Body: b.dispatch.Piece(m.Body)})
+		dedupMessages{b}.send(from, &boxwire.Piece{Body: b.dispatch.AnswerPiece(m.Body)})
 	case *boxwire.Piece:
 		b.claimer.Answered(m.Body)
 	default:
--- a/box/routed.go
+++ b/box/routed.go
@@ -88,19 +88,19 @@
 	r := b.routed
 	r.endpoints = upstream.New(upstream.Config{Names: names, Share: b.connectionShare, Notices: b.notices})
 	r.discoverer = discover.New(discover.Config{
-		Source:   r.platform,
-		OnChange: b.setDirectory,
-		OnLost:   b.platformLost,
-		OnReturn: b.platformReturned,
-		Pause:    b.changePause,
-		Self:     b.settings.Name,
-		Peers:    b.others,
-		Ranked:   b.nearRanked,
-		Tree:     b.tree,
-		Heads:    b.heads,
-		Readers:  b.readers(),
-		Listed:   b.listed,
-		Log:      b.options.Log,
+		Source:        r.platform,
+		OnChange:      b.setDirectory,
+		OnLost:        b.platformLost,
+		OnRestore:     b.platformRestored,
+		BatchDelay:    b.changePause,
+		Self:          b.settings.Name,
+		Peers:         b.others,
+		Ranked:        b.nearRanked,
+		Tree:          b.tree,
+		RegionEntries: b.regionEntries,
+		Readers:       b.readers(),
+		Listed:        b.listed,
+		Log:           b.options.Log,
 	})
 	r.drains = b.newDrains()
 	r.quotas = quota.New(quota.Config{
@@ -122,7 +122,7 @@
 		Metrics: b.metrics,
 		Log:     b.options.Log,
 
-		LatestReturn: r.discoverer.LatestReturn,
+		LatestRestore: r.discoverer.LatestRestore,
 	})
 	r.relay = relay.New(relay.Config{
 		Box:          b.settings.Name,
@@ -135,12 +135,12 @@
 		Quotas:       r.quotas,
 		Quarantine:   b.quarantine,
 		Ready:        r.drains.Ready,
-		Current:      b.follower.Current,
+		TableCurrent: b.follower.Current,
 		ParsePrefill: names.ParsePrefill,
 		NextID:       b.dispatch.NextID,
 		Boxes:        func() int { return b.knownBoxes() + spareBoxes },
 		Budget:       budgetOf(s),
-		Cold:         coldBoundOf(s),
+		ColdBound:    coldBoundOf(s),
 		Notices:      b.notices,
 		Held:         b.held,
 		Metrics:      b.metrics,
@@ -148,7 +148,7 @@
 	})
 	r.registry = registry.New(registry.Config{
 		Self: adapter.Box{
-			Name: b.settings.Name, Address: b.advertised(), Zone: b.settings.Zone, Wire: uint16(boxwire.VersionNow),
+			Name: b.settings.Name, Address: b.advertised(), Zone: b.settings.Zone, Wire: uint16(boxwire.VersionCurrent),
 		},
 		Platform: r.platform,
 		Members:  b.members.Snapshot,
@@ -269,31 +269,31 @@
 	notices  *notice.Keeper
 }
 
-// Decide passes on a decision for a request of this box, after noting the endpoints' limits
+// HandleDecision passes on a decision for a request of this box, after noting the endpoints' limits
 // that it carries.
-func (d decisions) Decide(from, group string, decision schedule.Decision) {
+func (d decisions) HandleDecision(from, group string, decision schedule.Decision) {
 	switch dec := decision.(type) {
 	case schedule.Grant:
 		d.notices.Heard(dec.Limits)
-	case schedule.Slot:
+	case schedule.DecodeAssignment:
 		d.notices.Heard(dec.Limits)
 	}
-	if d.relay != nil && d.relay.Decide(from, group, decision) {
+	if d.relay != nil && d.relay.HandleDecision(from, group, decision) {
 		return
 	}
-	d.dispatch.Decide(from, group, decision)
+	d.dispatch.HandleDecision(from, group, decision)
 }
 
-// Check reports to a home which of the given attempts of this box are over. Attempts that
+// CheckAttempts reports to a home which of the given attempts of this box are over. Attempts that
 // the relay still owns are left out; the dispatcher handles the others.
-func (d decisions) Check(from, group, engine string, ids []lifecycle.AttemptID) {
+func (d decisions) CheckAttempts(from, group, engine string, ids []lifecycle.AttemptID) {
 	var others []lifecycle.AttemptID
 	for _, id := range ids {
 		if d.relay == nil || !d.relay.Owns(id.Request) {
 			others = append(others, id)
 		}
 	}
-	d.dispatch.Check(from, group, engine, others)
+	d.dispatch.CheckAttempts(from, group, engine, others)
 }
 
 // relayNames returns the header names of routed services.
@@ -384,7 +384,7 @@
 // to their end.
 func (b *Box) stopAccepting() {
 	_ = b.routed.listener.Close()
-	b.routed.server.CloseResting()
+	b.routed.server.CloseIdle()
 }
 
 // closeRouted waits for callers' connections to close, then closes the connections to
@@ -402,6 +402,6 @@
 // leaveRouted announces to callers that the box is leaving.
 func (b *Box) leaveRouted() {
 	if b.routed != nil {
-		b.routed.server.Leave()
+		b.routed.server.DisableKeepAlives()
 	}
 }
--- a/box/run.go
+++ b/box/run.go
@@ -132,7 +132,7 @@
 func (b *Box) membersChanged(s members.Snapshot) {
 	peers := make(map[string]boxnet.Peer, len(s.All))
 	zones := make(map[string]string, len(s.All))
-	lost := home.Lost{Starts: make(map[string]uint64)}
+	lost := home.LostProcesses{Starts: make(map[string]uint64)}
 	for _, other := range s.All {
 		zones[other.Name] = other.Zone
 		lost.Starts[other.Name] = other.Start
@@ -140,7 +140,7 @@
 			// Dead boxes are still probed, so that both sides of a network partition find
 			// each other once it heals.
 			peers[other.Name] = boxnet.Peer{
-				Address: other.Address, Start: other.Start, Version: boxwire.Version(other.Wire),
+				Address: other.Address, Incarnation: other.Start, Version: boxwire.Version(other.Wire),
 			}
 		}
 		if other.State == member.Dead {
@@ -155,8 +155,8 @@
 	b.setSpread(s.Duty)
 	b.net.SetPeers(peers)
 	b.router.SetLive(
-		rank.Of(live).In(zones, b.regions),
-		rank.Of(member.Established(s.Duty)).In(zones, b.regions),
+		rank.Of(live).WithZones(zones, b.regions),
+		rank.Of(member.Established(s.Duty)).WithZones(zones, b.regions),
 	)
 	b.keeper.SetBoxes(live)
 	b.homes.LiveChanged(lost)
--- a/box/shared.go
+++ b/box/shared.go
@@ -29,7 +29,7 @@
 // how many boxes it sees.
 func (b *Box) standing(group string) pace.Standing {
 	f := b.fleet()
-	homeFor, own := b.router.HomeFor(group)
+	homeFor, own := b.router.HomeDuration(group)
 	return pace.Standing{Home: own, For: homeFor, Seen: f.Seen, All: f.All}
 }
 
@@ -42,7 +42,7 @@
 // paused, other homes may have granted the same quota.
 func (b *Box) pauseRouted() {
 	if b.routed != nil {
-		b.routed.quotas.Paused()
+		b.routed.quotas.NotePause()
 	}
 }
 
@@ -68,7 +68,7 @@
 // findEngine returns an engine, and whether it is known, usable and open to requests.
 func (b *Box) findEngine(id string) (stages.Engine, bool) {
 	w, ok := b.routed.discoverer.Directory().Status(id)
-	if !ok || !w.Usable() || !b.notices.Standing(id).Open() {
+	if !ok || !w.Usable() || !b.notices.Availability(id).Open() {
 		return stages.Engine{}, false
 	}
 	return stages.Engine{ID: w.ID, Service: w.Service, Address: w.Address, Born: w.Born}, true
--- a/box/status.go
+++ b/box/status.go
@@ -36,7 +36,7 @@
 		Messages:        messages,
 		TableAgeMS:      ageMS(b.follower.Age()),
 	}
-	s.Build, s.Wire, s.Peers, s.Unknown = version.Version, uint16(boxwire.VersionNow), b.peerVersions(), b.unknownMessages()
+	s.Build, s.Wire, s.Peers, s.Unknown = version.Version, uint16(boxwire.VersionCurrent), b.peerVersions(), b.unknownMessages()
 	for _, c := range b.notices.Closed() {
 		s.Closed = append(s.Closed, operatorhttp.ClosedEndpoint{Endpoint: c.Endpoint, Leaving: c.Leaving, RestMS: c.Rest.Milliseconds()})
 	}
@@ -52,7 +52,7 @@
 		s.Stages = b.homes.Plans()
 		drained := b.routed.drains.Status()
 		s.Zones = &drained
-		s.Bound = boundOf(b.follower.Table())
+		s.Restrictions = boundOf(b.follower.Table())
 		s.Cold = b.homes.ColdEndpoints()
 	}
 	s.Limited = b.homes.LimitedEndpoints()
@@ -108,16 +108,16 @@
 }
 
 // boundOf lists the routes and accounts that may be served in some regions only.
-func boundOf(t table.Table) []operatorhttp.Bound {
-	var out []operatorhttp.Bound
+func boundOf(t table.Table) []operatorhttp.RegionRestriction {
+	var out []operatorhttp.RegionRestriction
 	for _, r := range t.Routes {
 		if len(r.AllowedRegions) > 0 {
-			out = append(out, operatorhttp.Bound{Of: operatorhttp.BoundOfRoute, Name: r.Name, Regions: r.AllowedRegions})
+			out = append(out, operatorhttp.RegionRestriction{Of: operatorhttp.RestrictionOfRoute, Name: r.Name, Regions: r.AllowedRegions})
 		}
 	}
 	for _, a := range t.Accounts {
 		if len(a.AllowedRegions) > 0 {
-			out = append(out, operatorhttp.Bound{Of: operatorhttp.BoundOfAccount, Name: a.Name, Regions: a.AllowedRegions})
+			out = append(out, operatorhttp.RegionRestriction{Of: operatorhttp.RestrictionOfAccount, Name: a.Name, Regions: a.AllowedRegions})
 		}
 	}
 	return out
--- a/box/wire.go
+++ b/box/wire.go
@@ -172,21 +172,21 @@
 	names := b.names.Load()
 	self := boxwire.Owner{Box: b.settings.Name, Incarnation: b.options.Incarnation}
 	switch m := m.(type) {
-	case boxwire.Decided:
+	case boxwire.DecisionMessage:
 		group, known := names.Name(m.GroupOf())
 		if d, found := m.Decision(names, self); known && found {
-			b.decisions.Decide(from, group, d)
+			b.decisions.HandleDecision(from, group, d)
 		}
 	case *boxwire.Check:
 		group, _ := names.Name(m.Group)
 		engine, _ := names.Name(m.Engine)
-		b.decisions.Check(from, group, engine, m.Attempts(self))
+		b.decisions.CheckAttempts(from, group, engine, m.Attempts(self))
 	case *boxwire.Member:
 		b.receiveMember(from, m)
 		b.follower.Heard(from, m.Table())
 		b.follower.Confirmed(m.Table(), ageOf(m.AgeMS))
 		b.receiveDrainedVersion(from, m)
-		b.quarantine.Heard(from, m.Suspects)
+		b.quarantine.ReceiveDigest(from, m.Suspects)
 	case *boxwire.QuotaAsk:
 		if b.routed != nil {
 			b.routed.quotas.Receive(from, m.Ask(sender))
@@ -260,7 +260,7 @@
 	case *boxwire.Done:
 		offer(m.Group, m.Report(names, sender))
 	case *boxwire.Limits:
-		offer(m.Group, home.Limits{Of: m.Of(names)})
+		offer(m.Group, home.Limits{Of: m.EngineLimits(names)})
 	case *boxwire.Withdraw:
 		offer(m.Group, home.Withdrawn{ID: m.ID(sender)})
 	}
--- a/cmd/runridgectl/allowed.go
+++ b/cmd/runridgectl/allowed.go
@@ -25,7 +25,7 @@
 	out := tablewriter.NewWriter(w)
 	out.Header("of", "name", "allowed regions", "box", "generation")
 	for _, box := range boxes {
-		for _, b := range box.Bound {
+		for _, b := range box.Restrictions {
 			err := out.Append(b.Of, b.Name, strings.Join(b.Regions, " "), box.Box, strconv.FormatUint(box.Generation, 10))
 			if err != nil {
 				return err
--- a/cmd/runridgectl/zones_test.go
+++ b/cmd/runridgectl/zones_test.go
@@ -17,9 +17,9 @@
 func TestPrintAllowed(t *testing.T) {
 	convey.Convey("Each bound route and account is listed with its regions", t, func() {
 		boxes := []operatorhttp.Status{
-			{Box: "box-1", Generation: 77, Bound: []operatorhttp.Bound{
-				{Of: operatorhttp.BoundOfRoute, Name: "letters", Regions: []string{"north", "west"}},
-				{Of: operatorhttp.BoundOfAccount, Name: "desk", Regions: []string{"south"}},
+			{Box: "box-1", Generation: 77, Restrictions: []operatorhttp.RegionRestriction{
+				{Of: operatorhttp.RestrictionOfRoute, Name: "letters", Regions: []string{"north", "west"}},
+				{Of: operatorhttp.RestrictionOfAccount, Name: "desk", Regions: []string{"south"}},
 			}},
 			{Box: "box-2"},
 		}
--- a/coordination/adapter/adapter.go
+++ b/coordination/adapter/adapter.go
@@ -32,8 +32,8 @@
 	Tokens int
 	// Computed is the number of tokens that were not found in the engine's cache.
 	Computed int
-	// WorkedUS is the time in microseconds that the engine reports for the computation.
-	WorkedUS int64
+	// ComputeUS is the time in microseconds that the engine reports for the computation.
+	ComputeUS int64
 	// ExpiresMS is how long the engine keeps the result, in milliseconds.
 	ExpiresMS int64
 }
--- a/coordination/dedup/claimer.go
+++ b/coordination/dedup/claimer.go
@@ -49,11 +49,11 @@
 	Asker       Asker
 	// Ranked returns the boxes in their order for a key.
 	Ranked func(key string) []string
-	// Again is the timeout of one question, and the wait before a claim that could not be
+	// RetryInterval is the timeout of one question, and the wait before a claim that could not be
 	// decided is sent again.
-	Again time.Duration
-	// For bounds the total time of a claim.
-	For time.Duration
+	RetryInterval time.Duration
+	// Timeout bounds the total time of a claim.
+	Timeout time.Duration
 }
 
 const (
@@ -72,11 +72,11 @@
 
 // NewClaimer returns a claimer; zero times in cfg get defaults.
 func NewClaimer(cfg ClaimerConfig) *Claimer {
-	if cfg.Again <= 0 {
-		cfg.Again = defaultAgain
+	if cfg.RetryInterval <= 0 {
+		cfg.RetryInterval = defaultAgain
 	}
-	if cfg.For <= 0 {
-		cfg.For = defaultFor
+	if cfg.Timeout <= 0 {
+		cfg.Timeout = defaultFor
 	}
 	return &Claimer{
 		cfg:      cfg,
@@ -89,7 +89,7 @@
 // Claim asks the first box of the record's key whether a request may run. If no box decides
 // in time, the verdict is VerdictLater, and the request must not run.
 func (c *Claimer) Claim(ctx context.Context, r dedup.Record, replace lifecycle.RequestID) Reply {
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.For)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		ranked := c.cfg.Ranked(r.Key)
@@ -103,7 +103,7 @@
 			return reply
 		}
 		if ok {
-			sleep.For(ctx, c.cfg.Again)
+			sleep.For(ctx, c.cfg.RetryInterval)
 		}
 	}
 	return Reply{Verdict: VerdictLater}
@@ -117,7 +117,7 @@
 	})
 }
 
-// ask sends one question and waits up to cfg.Again for its answer.
+// ask sends one question and waits up to cfg.RetryInterval for its answer.
 func ask[T any](ctx context.Context, c *Claimer, waiting map[uint64]chan T, send func(sequence uint64)) (T, bool) {
 	answer := make(chan T, 1)
 	c.mutex.Lock()
@@ -131,7 +131,7 @@
 		c.mutex.Unlock()
 	}()
 	send(sequence)
-	timer := time.NewTimer(c.cfg.Again)
+	timer := time.NewTimer(c.cfg.RetryInterval)
 	defer timer.Stop()
 	var none T
 	select {
--- a/coordination/dedup/keeper.go
+++ b/coordination/dedup/keeper.go
@@ -149,12 +149,12 @@
 // keeper no longer trusts what it knew of the past.
 func (k *Keeper) SetBoxes(boxes []string) {
 	if k.queue.Offer(incoming{body: boxSet(boxes)}) == ring.Full {
-		k.Distrust()
+		k.ReportGap()
 	}
 }
 
-// Distrust reports that this box may have missed records.
-func (k *Keeper) Distrust() {
+// ReportGap reports that this box may have missed records.
+func (k *Keeper) ReportGap() {
 	// A pending signal already covers this one.
 	_ = k.distrust.Offer(struct{}{})
 }
@@ -172,7 +172,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-k.distrust.C():
-			k.store.Distrust(time.Now())
+			k.store.ResetViews(time.Now())
 		case in := <-k.queue.C():
 			k.handle(time.Now(), in)
 		case now := <-look:
--- a/coordination/discover/discover.go
+++ b/coordination/discover/discover.go
@@ -37,19 +37,19 @@
 	Source Source
 	// Wait bounds one wait for changes; 0 is defaultWait.
 	Wait time.Duration
-	// Pause returns the delay between a change and the next wait, so that a series of
+	// BatchDelay returns the delay between a change and the next wait, so that a series of
 	// changes is read in one batch; nil means no delay.
-	Pause func() time.Duration
-	// Keep is how long a removed endpoint stays in the directory; 0 is defaultKeep.
-	Keep time.Duration
+	BatchDelay func() time.Duration
+	// KeepRemoved is how long a removed endpoint stays in the directory; 0 is defaultKeep.
+	KeepRemoved time.Duration
 	// OnChange receives each new directory, in order. It must not block.
 	OnChange func(directory.Directory)
 	// OnLost is called when the platform has dropped its history, stopped answering, or
 	// answers again: other waits on the platform may then never return.
 	OnLost func()
-	// OnReturn is called when the platform was restored from an older copy, which may lack
+	// OnRestore is called when the platform was restored from an older copy, which may lack
 	// what this box wrote.
-	OnReturn func()
+	OnRestore func()
 	// Self is this box's name. Peers sends updates to other boxes; if it is nil, the box
 	// reads the list on its own.
 	Self  string
@@ -60,9 +60,9 @@
 	// Tree returns the same boxes in the order of the tree along which updates of an origin
 	// are forwarded; nil uses Ranked.
 	Tree func(key, origin string) []string
-	// Heads returns, for each other region, the box that receives updates on its behalf,
+	// RegionEntries returns, for each other region, the box that receives updates on its behalf,
 	// chosen by the key in the same way everywhere; nil sends nothing to other regions.
-	Heads func(key string) []string
+	RegionEntries func(key string) []string
 	// Readers is the number of boxes, first in rank, that read the platform for their
 	// region; 0 stands for cover.Readers.
 	Readers int
@@ -107,8 +107,8 @@
 	if cfg.Wait <= 0 {
 		cfg.Wait = defaultWait
 	}
-	if cfg.Keep <= 0 {
-		cfg.Keep = defaultKeep
+	if cfg.KeepRemoved <= 0 {
+		cfg.KeepRemoved = defaultKeep
 	}
 	return &Discoverer{cfg: cfg, outage: outage{lastHeard: time.Now()}, exchange: newExchange(), listed: make(chan struct{})}
 }
@@ -120,9 +120,9 @@
 	return d.known
 }
 
-// Left marks an endpoint as gone because another endpoint answered at its address.
-func (d *Discoverer) Left(id string) {
-	d.update(func(known directory.Directory) directory.Directory { return known.WithLeft(id) })
+// MarkReplaced marks an endpoint as gone because another endpoint answered at its address.
+func (d *Discoverer) MarkReplaced(id string) {
+	d.update(func(known directory.Directory) directory.Directory { return known.WithReplaced(id) })
 }
 
 // SetDrained sets the drained availability zones.
@@ -156,11 +156,11 @@
 // batchChanges pauses after a change, so that further changes are read with it.
 func (d *Discoverer) batchChanges(ctx context.Context) {
 	revision := d.Directory().Revision()
-	if d.cfg.Pause == nil || revision == d.gatheredRevision {
+	if d.cfg.BatchDelay == nil || revision == d.gatheredRevision {
 		return
 	}
 	d.gatheredRevision = revision
-	sleep.For(ctx, d.cfg.Pause())
+	sleep.For(ctx, d.cfg.BatchDelay())
 }
 
 // Run reads the list and its changes until the context ends.
@@ -181,11 +181,11 @@
 			continue
 		}
 		knownBefore := d.Directory().Known()
-		err := d.readOnce(ctx, whole, !decision.Tell)
+		err := d.readOnce(ctx, whole, !decision.Announce)
 		if err != nil && whole && !knownBefore && d.Directory().Known() {
 			// A list from another box, maybe of another region, came first.
 			whole = false
-			d.announceUnless(d.Directory().All(), 1)
+			d.announceUnless(d.Directory().Snapshot(), 1)
 			continue
 		}
 		if err == nil && !whole {
@@ -260,7 +260,7 @@
 			d.addToHistory(directory.Update{At: at, Whole: true})
 			return known.WithList(time.Now(), at, list)
 		})
-		all := d.Directory().All()
+		all := d.Directory().Snapshot()
 		announced := all.At
 		if first {
 			// When all boxes start at once, one list is enough, even if it is slightly older.
@@ -280,7 +280,7 @@
 		if at > known.At() {
 			d.addToHistory(directory.Update{After: after, At: at, Changes: changes})
 		}
-		return known.WithChanges(now, at, changes).Without(now, d.cfg.Keep)
+		return known.WithChanges(now, at, changes).WithoutGone(now, d.cfg.KeepRemoved)
 	})
 	d.announce(directory.Update{After: after, At: at, Changes: changes})
 	return nil
--- a/coordination/discover/gap.go
+++ b/coordination/discover/gap.go
@@ -130,6 +130,6 @@
 	case have > 0 && kept:
 		d.cfg.Peers.SendUpdate(missed, from)
 	default:
-		d.cfg.Peers.SendUpdate(known.All(), from)
+		d.cfg.Peers.SendUpdate(known.Snapshot(), from)
 	}
 }
--- a/coordination/discover/outage.go
+++ b/coordination/discover/outage.go
@@ -69,7 +69,7 @@
 
 // noteRestore checks whether the position at shows that the platform was restored from an
 // older copy. If so it keeps the known endpoints for holdAfterRestore, starts a grace
-// period, schedules another read and calls OnReturn. It is called before what was read at
+// period, schedules another read and calls OnRestore. It is called before what was read at
 // that position is applied.
 func (d *Discoverer) noteRestore(now time.Time, at uint64) {
 	d.mutex.Lock()
@@ -78,15 +78,15 @@
 		d.mutex.Unlock()
 		return
 	}
-	d.known = d.known.WithHeld(now.Add(holdAfterRestore))
+	d.known = d.known.WithRestoredUntil(now.Add(holdAfterRestore))
 	d.startGrace(now)
 	d.outage.rereadAt, d.outage.restoredAt = now.Add(rereadAfter), now
 	d.cfg.Log.WithFields(log.Fields{
 		"era": position.Era(at), "position": at, "era_before": position.Era(before), "position_before": before,
 	}).Warn("endpoint_list_came_back_older")
 	d.mutex.Unlock()
-	if d.cfg.OnReturn != nil {
-		d.cfg.OnReturn()
+	if d.cfg.OnRestore != nil {
+		d.cfg.OnRestore()
 	}
 }
 
@@ -102,10 +102,10 @@
 	}
 }
 
-// LatestReturn returns the platform's era as far as this box knows, and when the platform
+// LatestRestore returns the platform's era as far as this box knows, and when the platform
 // was last found to be restored from an older copy; the time is zero if that hasn't
 // happened since this box started.
-func (d *Discoverer) LatestReturn() (era uint64, at time.Time) {
+func (d *Discoverer) LatestRestore() (era uint64, at time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return position.Era(d.known.At()), d.outage.restoredAt
@@ -127,6 +127,6 @@
 func (d *Discoverer) startGrace(now time.Time) {
 	d.known = d.known.WithGrace(now.Add(gracePeriod))
 	time.AfterFunc(gracePeriod, func() {
-		d.update(func(known directory.Directory) directory.Directory { return known.WithoutGrace(time.Now()) })
+		d.update(func(known directory.Directory) directory.Directory { return known.WithGraceEnded(time.Now()) })
 	})
 }
--- a/coordination/discover/region_test.go
+++ b/coordination/discover/region_test.go
@@ -31,7 +31,7 @@
 		view := spread.New(b, all, regions)
 		views[b.Name] = view
 		f.names = append(f.names, b.Name)
-		f.boxes[b.Name] = New(Config{Self: b.Name, Peers: link{f, b.Name}, Ranked: view.Near, Heads: view.Heads, Readers: cover.RegionReaders, Log: log.Discard()})
+		f.boxes[b.Name] = New(Config{Self: b.Name, Peers: link{f, b.Name}, Ranked: view.Near, RegionEntries: view.RegionEntries, Readers: cover.RegionReaders, Log: log.Discard()})
 	}
 	return f, views
 }
@@ -80,7 +80,7 @@
 		}
 		// The box that receives updates for the far region dies: updates of the other readers
 		// arrive through other boxes.
-		lost := near.Heads(treeKey(first))[0]
+		lost := near.RegionEntries(treeKey(first))[0]
 		f.cut[lost] = true
 		for i, reader := range near.Near(rankKey)[:cover.RegionReaders] {
 			f.boxes[reader].announce(directory.Update{After: 3, At: 5 + uint64(i), Changes: []directory.Change{{Entry: entry("b")}}})
--- a/coordination/discover/share.go
+++ b/coordination/discover/share.go
@@ -74,7 +74,7 @@
 // announce what it reads.
 func (d *Discoverer) decide(now time.Time) cover.Decision {
 	if d.cfg.Peers == nil {
-		return cover.Decision{Read: true, Tell: true}
+		return cover.Decision{Read: true, Announce: true}
 	}
 	place := d.place(d.cfg.Self)
 	d.mutex.Lock()
@@ -111,13 +111,13 @@
 const standbyStep = 100 * time.Millisecond
 
 // announce sends what this box has read from the platform to the others, if it reads for
-// them: at once if it is the first reader or stands in for the readers.
+// them: at once if it is the first reader or a stand-in for the readers.
 func (d *Discoverer) announce(u directory.Update) { d.announceUnless(u, u.At) }
 
 // announceUnless is like announce, but a further reader sends the update in full only if
 // no other box has announced the changes up to a position.
 func (d *Discoverer) announceUnless(u directory.Update, announced uint64) {
-	if d.cfg.Peers == nil || !d.decide(time.Now()).Tell {
+	if d.cfg.Peers == nil || !d.decide(time.Now()).Announce {
 		return
 	}
 	place := d.place(d.cfg.Self)
@@ -167,7 +167,7 @@
 // origin or the box that receives updates on behalf of the region. So no box sends to more
 // than a few.
 func (d *Discoverer) forward(u directory.Update) {
-	to := spread.Below(spread.Draw(d.cfg.Tree, d.cfg.Ranked, treeKey(u.Origin), u.Origin), d.cfg.Self)
+	to := spread.Children(spread.TreeOrder(d.cfg.Tree, d.cfg.Ranked, treeKey(u.Origin), u.Origin), d.cfg.Self)
 	if len(to) == 0 {
 		return
 	}
@@ -186,10 +186,10 @@
 // they prove nothing about another region's access to it; nor are whole lists, which boxes
 // pull when they need them.
 func (d *Discoverer) sendToOtherRegions(u directory.Update) {
-	if d.cfg.Heads == nil || u.Lost || u.Whole {
+	if d.cfg.RegionEntries == nil || u.Lost || u.Whole {
 		return
 	}
-	if to := d.cfg.Heads(treeKey(u.Origin)); len(to) > 0 {
+	if to := d.cfg.RegionEntries(treeKey(u.Origin)); len(to) > 0 {
 		d.cfg.Peers.SendUpdate(u, to...)
 	}
 }
@@ -233,7 +233,7 @@
 	origin := d.place(u.Origin)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.exchange.cover.Passes(now, origin)
+	return d.exchange.cover.Forwards(now, origin)
 }
 
 // noteSequence records an update's sequence number and reports whether the update is new
@@ -260,7 +260,7 @@
 	}
 	covers := u.At >= d.known.At() && !u.Lost
 	if covers {
-		d.exchange.cover = d.exchange.cover.WithWord(now, own, origin)
+		d.exchange.cover = d.exchange.cover.WithUpdate(now, own, origin)
 	}
 	d.mutex.Unlock()
 	if covers {
--- a/coordination/discover/start.go
+++ b/coordination/discover/start.go
@@ -53,7 +53,7 @@
 	if place.Boxes < largeFleet || place.Rank < 0 || place.Reader() {
 		return false
 	}
-	above := spread.Above(spread.Draw(d.cfg.Tree, d.cfg.Ranked, rankKey, ""), d.cfg.Self)
+	above := spread.Ancestors(spread.TreeOrder(d.cfg.Tree, d.cfg.Ranked, rankKey, ""), d.cfg.Self)
 	bound := listWait + min(time.Duration(place.Rank)*listWaitStep, maxListWaitStep)
 	for i := 0; !d.Directory().Known() && time.Since(start) < bound && ctx.Err() == nil; i++ {
 		d.cfg.Peers.SendUpdatePull(above[i%len(above)], 0)
@@ -102,8 +102,8 @@
 func (d *Discoverer) pullFromOtherRegions(ctx context.Context) {
 	keys := []string{rankKey, treeKey(d.cfg.Self)}
 	for i := 0; !d.Directory().Known() && ctx.Err() == nil; i++ {
-		if d.cfg.Heads != nil && d.place(d.cfg.Self).Reader() {
-			for _, box := range d.cfg.Heads(keys[i%len(keys)]) {
+		if d.cfg.RegionEntries != nil && d.place(d.cfg.Self).Reader() {
+			for _, box := range d.cfg.RegionEntries(keys[i%len(keys)]) {
 				d.cfg.Peers.SendUpdatePull(box, 0)
 			}
 		}
--- a/coordination/dispatch/ask.go
+++ b/coordination/dispatch/ask.go
@@ -74,12 +74,12 @@
 		Deadline:     d.request.Deadline,
 		Resume:       e.Emitted > 0 || e.Kept != "",
 		Avoid:        e.Avoid,
-		Kept:         e.Kept,
+		KeptBy:       e.Kept,
 	}
 	d.currentAsk.Marks, d.currentAsk.MarkTokens = d.prefixMarks()
 	d.report = schedule.Report{ID: id}
 	d.attemptFirstAt, d.attemptLastAt = time.Time{}, time.Time{}
-	d.askDeadline = time.Now().Add(d.dispatcher.cfg.AskFor)
+	d.askDeadline = time.Now().Add(d.dispatcher.cfg.AskTimeout)
 	d.rank = 0
 	d.askedAt = make(map[string]time.Time)
 	d.sendAsk()
@@ -103,22 +103,22 @@
 // sendAsk sends the ask to the box at the current rank.
 func (d *driver) sendAsk() {
 	boxes := d.dispatcher.cfg.Homes.HomesOf(d.group)
-	d.askTimer.Reset(d.dispatcher.cfg.FirstWord)
+	d.askTimer.Reset(d.dispatcher.cfg.HomeTimeout)
 	d.queued = false
 	if len(boxes) == 0 {
 		return
 	}
 	d.home = boxes[d.rank%len(boxes)]
-	d.currentAsk.Waited = time.Since(d.started)
+	d.currentAsk.Elapsed = time.Since(d.started)
 	if _, again := d.askedAt[d.home]; !again {
 		d.askedAt[d.home] = time.Now()
 	}
-	if d.dispatcher.cfg.Homes.Tell(d.home, d.group, d.currentAsk) == ring.Full {
-		d.askTimer.Reset(d.dispatcher.cfg.FirstWord / queueFullDivisor)
+	if d.dispatcher.cfg.Homes.Send(d.home, d.group, d.currentAsk) == ring.Full {
+		d.askTimer.Reset(d.dispatcher.cfg.HomeTimeout / queueFullDivisor)
 	}
 }
 
-// queueFullDivisor shortens FirstWord for an ask that did not fit into the send queue.
+// queueFullDivisor shortens HomeTimeout for an ask that did not fit into the send queue.
 const queueFullDivisor = 8
 
 // retryAsk sends the ask again, or ends the request if its time for asking is over. If the home
@@ -144,7 +144,7 @@
 // notifyHome sends a message to the home of the ask or grant.
 func (d *driver) notifyHome(body home.Body) {
 	// A lost report does no harm because the home's own records expire.
-	_ = d.dispatcher.cfg.Homes.Tell(d.home, d.group, body)
+	_ = d.dispatcher.cfg.Homes.Send(d.home, d.group, body)
 }
 
 // rehome moves the request to the new home of its group, if it has changed: a pending ask is
@@ -179,7 +179,7 @@
 	if g.id.Number == d.machine.Attempt && g.home == d.home {
 		return
 	}
-	_ = d.dispatcher.cfg.Homes.Tell(g.home, d.group, home.Withdrawn{ID: g.id})
+	_ = d.dispatcher.cfg.Homes.Send(g.home, d.group, home.Withdrawn{ID: g.id})
 }
 
 // handleRefusal ends the request, or asks the new home if the group has moved.
@@ -187,12 +187,12 @@
 	if r.id.Number != d.machine.Attempt+1 || d.machine.Phase != lifecycle.Received {
 		return
 	}
-	if r.event.Reason == lifecycle.ReasonMoved {
+	if r.event.Reason == lifecycle.ReasonHomeMoved {
 		d.askTimer.Reset(homeMovedDelay)
 		return
 	}
 	d.askTimer.Stop()
-	if rest := d.dispatcher.cfg.Homes.RestOf(d.group); rest > 0 && r.event.Reason == lifecycle.ReasonNoEngine {
+	if rest := d.dispatcher.cfg.Homes.LeastRest(d.group); rest > 0 && r.event.Reason == lifecycle.ReasonNoEngine {
 		r.event.RetryAfterMS = int(max(rest.Milliseconds(), 1))
 	}
 	d.step(r.event)
--- a/coordination/dispatch/call.go
+++ b/coordination/dispatch/call.go
@@ -37,9 +37,9 @@
 	Key string
 	// Zone is the availability zone in which the request arrived.
 	Zone string
-	// Asks holds what identifies the request to the quarantine. A request with the zero value
-	// is never taken for a poison request.
-	Asks poison.Request
+	// PoisonIdentity holds what identifies the request to the quarantine. A request with the
+	// zero value is never taken for a poison request.
+	PoisonIdentity poison.Request
 	// Forward makes the exchange with the endpoint of a plain service; nil for a model. Its
 	// errors state whether the request may have run, like those of an engine.
 	Forward func(ctx context.Context, attempt lifecycle.AttemptID, e table.Endpoint) error
@@ -86,9 +86,9 @@
 	}
 }
 
-// Gone records that the caller has disconnected. It may be called at any time and more than
+// CallerGone records that the caller has disconnected. It may be called at any time and more than
 // once.
-func (c *Call) Gone() {
+func (c *Call) CallerGone() {
 	c.goneOnce.Do(func() { close(c.gone) })
 }
 
--- a/coordination/dispatch/dispatcher.go
+++ b/coordination/dispatch/dispatcher.go
@@ -30,12 +30,12 @@
 type Homes interface {
 	// PlacesOf returns the groups of a service.
 	PlacesOf(service string) []group.Place
-	// RestOf returns how long until this box may send to the first resting endpoint of a group;
+	// LeastRest returns how long until this box may send to the first resting endpoint of a group;
 	// 0 if none rests.
-	RestOf(group string) time.Duration
+	LeastRest(group string) time.Duration
 	// HomesOf returns the boxes to ask for a group, its home first.
 	HomesOf(group string) []string
-	Tell(box, group string, body home.Body) ring.Outcome
+	Send(box, group string, body home.Body) ring.Outcome
 }
 
 // Releaser releases holds on engines and repeats the release until the engine acknowledges it.
@@ -50,7 +50,7 @@
 
 // Metrics records metrics of requests.
 type Metrics interface {
-	RequestEnded(e metric.Ended)
+	RequestEnded(e metric.RequestSummary)
 }
 
 // Config configures a Dispatcher.
@@ -77,14 +77,14 @@
 	Window time.Duration
 	// MaxAttempts limits the attempts of one request.
 	MaxAttempts uint32
-	// FirstWord is how long a home may be silent after an ask before the next box in rank is
+	// HomeTimeout is how long a home may be silent after an ask before the next box in rank is
 	// asked.
-	FirstWord time.Duration
-	// AskAgain is how long to wait for the decision on a queued ask before asking again.
-	AskAgain time.Duration
-	// AskFor limits the total time of asking for one attempt; after it the request is refused
+	HomeTimeout time.Duration
+	// QueuedRetry is how long to wait for the decision on a queued ask before asking again.
+	QueuedRetry time.Duration
+	// AskTimeout limits the total time of asking for one attempt; after it the request is refused
 	// as not run.
-	AskFor time.Duration
+	AskTimeout time.Duration
 	// StepTimeout limits one order to an engine, and the gap between two tokens.
 	StepTimeout time.Duration
 	Log         log.Logger
@@ -118,14 +118,14 @@
 	if cfg.Window <= 0 {
 		cfg.Window = records.DefaultWindow
 	}
-	if cfg.FirstWord <= 0 {
-		cfg.FirstWord = defaultFirstWord
+	if cfg.HomeTimeout <= 0 {
+		cfg.HomeTimeout = defaultFirstWord
 	}
-	if cfg.AskAgain <= 0 {
-		cfg.AskAgain = defaultAskAgain
+	if cfg.QueuedRetry <= 0 {
+		cfg.QueuedRetry = defaultAskAgain
 	}
-	if cfg.AskFor <= 0 {
-		cfg.AskFor = defaultAskFor
+	if cfg.AskTimeout <= 0 {
+		cfg.AskTimeout = defaultAskFor
 	}
 	if cfg.StepTimeout <= 0 {
 		cfg.StepTimeout = defaultStepTimeout
@@ -139,8 +139,8 @@
 	}
 }
 
-// Piece answers a box that handles a repeat of a request of this box.
-func (d *Dispatcher) Piece(j dedup.Join) dedup.Piece {
+// AnswerPiece answers a box that handles a repeat of a request of this box.
+func (d *Dispatcher) AnswerPiece(j dedup.Join) dedup.Piece {
 	return d.transcripts.piece(j)
 }
 
@@ -223,20 +223,20 @@
 	return ok
 }
 
-// Decide delivers a home's decision to the driver of its request. A grant for a request that
-// has ended is returned, since nobody else would return it.
-func (d *Dispatcher) Decide(from, group string, decision schedule.Decision) {
+// HandleDecision delivers a home's decision to the driver of its request. A grant for a request
+// that has ended is returned, since nobody else would return it.
+func (d *Dispatcher) HandleDecision(from, group string, decision schedule.Decision) {
 	switch dec := decision.(type) {
 	case schedule.Grant:
 		d.grant(from, group, dec)
-	case schedule.Refuse:
+	case schedule.Refusal:
 		d.deliver(dec.Ask.ID, refusalEvent{id: dec.Ask.ID, event: lifecycle.Refused{
 			Reason:       dec.Reason,
 			RetryAfterMS: int(dec.RetryAfter.Milliseconds()),
 		}})
 	case schedule.Queued:
 		d.deliver(dec.Ask.ID, queuedEvent{id: dec.Ask.ID, home: from})
-	case schedule.Slot:
+	case schedule.DecodeAssignment:
 		event := lifecycle.SlotReady{Attempt: dec.Ask.ID.Number, Decode: dec.Decode}
 		d.deliver(dec.Ask.ID, slotEvent{event: event, move: dec.Move, counted: dec.Paced})
 	}
@@ -246,12 +246,12 @@
 func (d *Dispatcher) grant(from, group string, g schedule.Grant) {
 	event := grantEvent{
 		id: g.Ask.ID, home: from, event: lifecycle.Granted{Plan: g.Plan}, move: g.Move,
-		prefillCounted: g.PacedPrefill, decodeCounted: g.PacedDecode, waited: g.Held,
+		prefillCounted: g.PacedPrefill, decodeCounted: g.PacedDecode, waited: g.QueueTime,
 	}
 	if d.deliver(g.Ask.ID, event) {
 		return
 	}
-	_ = d.cfg.Homes.Tell(from, group, home.Withdrawn{ID: g.Ask.ID})
+	_ = d.cfg.Homes.Send(from, group, home.Withdrawn{ID: g.Ask.ID})
 }
 
 // deliver sends an event to a request's driver and reports whether there is one.
@@ -274,15 +274,15 @@
 	}
 }
 
-// Check reports to a home which of the attempts have ended here, and releases what the named
-// engine holds for them.
-func (d *Dispatcher) Check(from, group, engine string, ids []lifecycle.AttemptID) {
+// CheckAttempts reports to a home which of the attempts have ended here, and releases what the
+// named engine holds for them.
+func (d *Dispatcher) CheckAttempts(from, group, engine string, ids []lifecycle.AttemptID) {
 	e, known := d.cfg.Tables.Table().Endpoint(engine)
 	for _, id := range ids {
 		if id.Request.Box != d.cfg.Box || id.Request.Incarnation == d.cfg.Incarnation && d.Owns(id.Request) {
 			continue
 		}
-		_ = d.cfg.Homes.Tell(from, group, schedule.Report{ID: id})
+		_ = d.cfg.Homes.Send(from, group, schedule.Report{ID: id})
 		if known {
 			_ = d.cfg.Releaser.Release(cleanup.Hold{Endpoint: e, Attempt: id.String()})
 		}
--- a/coordination/dispatch/driver.go
+++ b/coordination/dispatch/driver.go
@@ -76,7 +76,7 @@
 		dispatcher: d,
 		call:       c,
 		request:    r,
-		suspect:    d.cfg.Quarantine.Request(c.ID.String(), r.Service, r.Asks),
+		suspect:    d.cfg.Quarantine.Request(c.ID.String(), r.Service, r.PoisonIdentity),
 		started:    time.Now(),
 		marks:      prefix.Marks([]byte(r.Prompt)),
 		askTimer:   time.NewTimer(time.Hour),
@@ -111,7 +111,7 @@
 	case e := <-d.call.events:
 		d.handleEvent(e)
 	case <-d.call.gone:
-		d.step(lifecycle.CallerGone{})
+		d.step(lifecycle.CallerDisconnected{})
 	case <-d.askTimer.C:
 		d.retryAsk()
 	case <-d.call.rehome:
@@ -145,7 +145,7 @@
 	case queuedEvent:
 		if ev.home == d.home && ev.id == d.currentAsk.ID && d.machine.Phase == lifecycle.Received {
 			d.queued = true
-			d.askTimer.Reset(d.dispatcher.cfg.AskAgain)
+			d.askTimer.Reset(d.dispatcher.cfg.QueuedRetry)
 		}
 	case prefillEvent:
 		d.prefillReport = ev.report
--- a/coordination/dispatch/finish.go
+++ b/coordination/dispatch/finish.go
@@ -64,7 +64,7 @@
 	select {
 	case d.call.tokens <- text:
 	default:
-		d.call.Gone()
+		d.call.CallerGone()
 	}
 }
 
@@ -105,7 +105,7 @@
 	if d.dispatcher.cfg.Metrics == nil {
 		return
 	}
-	e := metric.Ended{
+	e := metric.RequestSummary{
 		Service:  d.request.Service,
 		Outcome:  a.Phase.String(),
 		Reason:   string(a.Reason),
--- a/coordination/dispatch/orders.go
+++ b/coordination/dispatch/orders.go
@@ -50,7 +50,7 @@
 			d.failOrder(e.Attempt, e.Engine, err, lifecycle.ReasonEngine)
 			return
 		}
-		worked := time.Duration(p.WorkedUS) * time.Microsecond
+		worked := time.Duration(p.ComputeUS) * time.Microsecond
 		d.call.post(prefillEvent{
 			report: home.Prefilled{ID: attempt, Computed: p.Computed, Worked: worked},
 			event:  lifecycle.PrefillDone{Attempt: e.Attempt},
--- a/coordination/dispatch/paced.go
+++ b/coordination/dispatch/paced.go
@@ -17,7 +17,7 @@
 // leaving or resting, or it announces a limit and no home has counted the attempt for it. It
 // returns an empty string if the prefill may be sent.
 func (d *driver) withholdPrefill(engine string) string {
-	if reason := d.dispatcher.cfg.Notices.Standing(engine).Reason(); reason != "" {
+	if reason := d.dispatcher.cfg.Notices.Availability(engine).Reason(); reason != "" {
 		return reason
 	}
 	if d.prefillCounted(engine) {
@@ -35,7 +35,7 @@
 // first order of an attempt counts toward the limits, so it records that the decode has
 // started; later orders of the same attempt are allowed.
 func (d *driver) withholdDecode(engine string) string {
-	if reason := d.dispatcher.cfg.Notices.Standing(engine).Reason(); reason != "" && !d.decodeStarted {
+	if reason := d.dispatcher.cfg.Notices.Availability(engine).Reason(); reason != "" && !d.decodeStarted {
 		return reason
 	}
 	if d.decodeCounted(engine) {
--- a/coordination/dispatch/repeat.go
+++ b/coordination/dispatch/repeat.go
@@ -25,7 +25,7 @@
 
 // Owners reports whether the box that handles a request is alive.
 type Owners interface {
-	Of(ctx context.Context, id lifecycle.RequestID) owner.Verdict
+	Check(ctx context.Context, id lifecycle.RequestID) owner.Verdict
 }
 
 const (
@@ -154,15 +154,15 @@
 // ownerSilent determines the outcome when the owner does not answer. It returns false while the
 // owner may still answer.
 func (d *driver) ownerSilent(ctx context.Context, reply dedup.Reply, lastReply time.Time) (followOutcome, bool) {
-	switch d.dispatcher.cfg.Owners.Of(ctx, reply.Owner) {
-	case owner.Gone:
+	switch d.dispatcher.cfg.Owners.Check(ctx, reply.Owner) {
+	case owner.Ended:
 		// The other request has provably ended without an answer. If it may be repeated, this
 		// request runs instead, unless part of the answer was already sent to the caller.
 		if !reply.Once && d.machine.Emitted == 0 {
 			return followFree, true
 		}
 		return followLost, true
-	case owner.There, owner.Silent:
+	case owner.Reachable, owner.Unreachable:
 	}
 	return followLost, time.Since(lastReply) > ownerTimeout
 }
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -51,9 +51,9 @@
 	// Tree returns the same boxes in the order of the tree along which updates of an origin
 	// are forwarded; nil uses Ranked.
 	Tree func(key, origin string) []string
-	// Heads returns, for each other region, the box that receives updates on its behalf,
+	// RegionEntries returns, for each other region, the box that receives updates on its behalf,
 	// chosen by the key in the same way everywhere; nil sends nothing to other regions.
-	Heads func(key string) []string
+	RegionEntries func(key string) []string
 	// Reads reports whether this box reads the platform for the others.
 	Reads func() bool
 	// OnChange receives the drained zones after each change, in order. It must not block.
@@ -226,7 +226,7 @@
 	held := k.noteRestore(time.Now(), at)
 	k.update("platform", func(z drain.Zones) drain.Zones {
 		if held {
-			return z.AtReturn(at, list)
+			return z.WithRestoredList(at, list)
 		}
 		return z.WithList(at, list)
 	})
--- a/coordination/drain/drain_test.go
+++ b/coordination/drain/drain_test.go
@@ -182,7 +182,7 @@
 	for _, b := range boxes {
 		f.zones[b.Name] = b.Zone
 		view := spread.New(b, boxes, regions)
-		f.boxes[b.Name].cfg.Ranked, f.boxes[b.Name].cfg.Heads = view.Near, view.Heads
+		f.boxes[b.Name].cfg.Ranked, f.boxes[b.Name].cfg.RegionEntries = view.Near, view.RegionEntries
 	}
 	f.readList("b003", 8, zoneA)
 	if n := f.countDrained(); n != 150 {
--- a/coordination/drain/share.go
+++ b/coordination/drain/share.go
@@ -19,10 +19,10 @@
 	}
 	u := k.Zones().Update(k.cfg.Self)
 	k.forward(u)
-	if k.cfg.Heads == nil {
+	if k.cfg.RegionEntries == nil {
 		return
 	}
-	for _, box := range k.cfg.Heads(treeKey(u.Origin)) {
+	for _, box := range k.cfg.RegionEntries(treeKey(u.Origin)) {
 		k.cfg.Peers.SendDrained(box, u)
 	}
 }
@@ -33,7 +33,7 @@
 // forward sends an update to this box's children in its region's tree, whose root is the
 // origin or the box that receives updates on behalf of the region.
 func (k *Keeper) forward(u drain.Update) {
-	for _, box := range spread.Below(spread.Draw(k.cfg.Tree, k.cfg.Ranked, treeKey(u.Origin), u.Origin), k.cfg.Self) {
+	for _, box := range spread.Children(spread.TreeOrder(k.cfg.Tree, k.cfg.Ranked, treeKey(u.Origin), u.Origin), k.cfg.Self) {
 		k.cfg.Peers.SendDrained(box, u)
 	}
 }
@@ -45,7 +45,7 @@
 	if u.At == 0 || u.Origin == k.cfg.Self {
 		return
 	}
-	if known := k.Zones(); known.Corrects(u) {
+	if known := k.Zones(); known.Supersedes(u) {
 		k.cfg.Peers.SendDrained(from, known.Update(""))
 	}
 	k.noteRestore(time.Now(), u.At)
@@ -75,7 +75,7 @@
 	if k.firstHeard.IsZero() {
 		k.firstHeard = now
 	}
-	ask := k.zones.Misses(v) && now.Sub(k.lastPull) >= minPullInterval
+	ask := k.zones.MayLack(v) && now.Sub(k.lastPull) >= minPullInterval
 	if ask {
 		k.lastPull = now
 	}
--- a/coordination/follow/confirm.go
+++ b/coordination/follow/confirm.go
@@ -39,7 +39,7 @@
 	if age == NeverConfirmed {
 		return
 	}
-	if !stamp.After(f.Table().Stamp()) {
+	if !stamp.NewerThan(f.Table().Stamp()) {
 		f.noteConfirmed(time.Now().Add(-age))
 	}
 }
@@ -61,5 +61,5 @@
 	age := f.Age()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return !f.newestNamed.After(f.table.Stamp()) && age <= maxConfirmationAge
+	return !f.newestNamed.NewerThan(f.table.Stamp()) && age <= maxConfirmationAge
 }
--- a/coordination/follow/follow.go
+++ b/coordination/follow/follow.go
@@ -26,8 +26,8 @@
 // Platform is the part of the platform's object API that a Follower uses.
 type Platform interface {
 	Get(ctx context.Context, name string, after uint64) (adapter.Object, error)
-	// GetOld reads an object that may be some seconds stale, which costs the platform less.
-	GetOld(ctx context.Context, name string) (adapter.Object, error)
+	// GetStale reads an object that may be some seconds stale, which costs the platform less.
+	GetStale(ctx context.Context, name string) (adapter.Object, error)
 }
 
 // Peers sends tables between boxes. Calls must not block.
@@ -180,7 +180,7 @@
 func (f *Follower) Offer(t table.Table) {
 	f.mutex.Lock()
 	if !f.gateOpen {
-		if t.Stamp().After(f.pending.Stamp()) {
+		if t.Stamp().NewerThan(f.pending.Stamp()) {
 			f.pending = t
 		}
 		f.mutex.Unlock()
@@ -209,7 +209,7 @@
 // apply puts a table into force if it is newer, and returns the change and whether it did.
 // The caller holds the mutex.
 func (f *Follower) apply(t table.Table) (table.Delta, bool) {
-	if !t.Stamp().After(f.table.Stamp()) {
+	if !t.Stamp().NewerThan(f.table.Stamp()) {
 		f.logOlder(t)
 		return table.Delta{}, false
 	}
--- a/coordination/follow/follow_test.go
+++ b/coordination/follow/follow_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s scriptedPlatform) GetOld(ctx context.Context, name string) (adapter.Object, error) {
+func (s scriptedPlatform) GetStale(ctx context.Context, name string) (adapter.Object, error) {
 	return s.Get(ctx, name, 0)
 }
 
--- a/coordination/follow/pass.go
+++ b/coordination/follow/pass.go
@@ -18,7 +18,7 @@
 // generation, so that no box forwards all changes, and its root gets the change from the
 // boxes that watch the platform.
 func (f *Follower) forward(change table.Delta) {
-	order := spread.Draw(f.cfg.Tree, f.cfg.Ranked, fmt.Sprintf("table@%d", change.Generation), "")
+	order := spread.TreeOrder(f.cfg.Tree, f.cfg.Ranked, fmt.Sprintf("table@%d", change.Generation), "")
 	at := slices.Index(order, f.cfg.Self)
 	if at < 0 {
 		return
@@ -27,7 +27,7 @@
 	if at > 0 && f.watching() {
 		to = append(to, order[0])
 	}
-	to = append(to, spread.Below(order, f.cfg.Self)...)
+	to = append(to, spread.Children(order, f.cfg.Self)...)
 	if len(to) > 0 {
 		f.cfg.Peers.SendChange(change, to...)
 	}
@@ -42,7 +42,7 @@
 		current = f.pending
 	}
 	f.mutex.Unlock()
-	if !d.Stamp().After(current.Stamp()) {
+	if !d.Stamp().NewerThan(current.Stamp()) {
 		return
 	}
 	next, fits := current.WithDelta(d)
@@ -64,7 +64,7 @@
 		}
 	}
 	f.mutex.Unlock()
-	if current.Stamp().After(have) {
+	if current.Stamp().NewerThan(have) {
 		f.cfg.Peers.SendChange(change, from)
 	}
 }
@@ -73,18 +73,18 @@
 // and hasn't arrived along the tree within pullGrace.
 func (f *Follower) Heard(from string, stamp table.Stamp) {
 	f.mutex.Lock()
-	f.newestNamed = f.newestNamed.Latest(stamp)
-	have := f.table.Stamp().Latest(f.pending.Stamp())
+	f.newestNamed = f.newestNamed.Newer(stamp)
+	have := f.table.Stamp().Newer(f.pending.Stamp())
 	now := time.Now()
 	switch {
-	case !f.newestNamed.After(have):
+	case !f.newestNamed.NewerThan(have):
 		f.behindSince = time.Time{}
 	case f.behindSince.IsZero():
 		f.behindSince = now
 	}
 	// A starting box has put nothing into force yet and pulls at once.
 	waited := !f.gateOpen || now.Sub(f.behindSince) >= pullGrace
-	ask := stamp.After(have) && waited && now.Sub(f.lastPull) >= minPullInterval
+	ask := stamp.NewerThan(have) && waited && now.Sub(f.lastPull) >= minPullInterval
 	if ask {
 		f.lastPull = now
 	}
@@ -101,7 +101,7 @@
 // replaces had.
 func (f *Follower) tryOpenGate(late bool) {
 	f.mutex.Lock()
-	ready := f.pending.Generation > 0 && f.newestNamed.Generation > 0 && !f.newestNamed.After(f.pending.Stamp())
+	ready := f.pending.Generation > 0 && f.newestNamed.Generation > 0 && !f.newestNamed.NewerThan(f.pending.Stamp())
 	if f.gateOpen || !ready && !late || f.pending.Generation == 0 {
 		f.mutex.Unlock()
 		return
--- a/coordination/follow/read.go
+++ b/coordination/follow/read.go
@@ -155,7 +155,7 @@
 // reads the platform itself continues from the stale version.
 func (f *Follower) readObject(ctx context.Context, version uint64) (adapter.Object, error) {
 	if f.mayBeStale(version) {
-		return f.cfg.Platform.GetOld(ctx, ObjectName)
+		return f.cfg.Platform.GetStale(ctx, ObjectName)
 	}
 	return f.cfg.Platform.Get(ctx, ObjectName, version)
 }
--- a/coordination/held/held.go
+++ b/coordination/held/held.go
@@ -67,17 +67,17 @@
 
 // Status is the state of a budget.
 type Status struct {
-	// Bytes is the size of the budget, Used the bytes held now, and Most the most that were
+	// Bytes is the size of the budget, Used the bytes held now, and Peak the most that were
 	// ever held.
 	Bytes int64 `json:"bytes"`
 	Used  int64 `json:"used"`
-	Most  int64 `json:"most"`
+	Peak  int64 `json:"most"`
 	// ByKind is the number of bytes held now, by kind.
 	ByKind map[string]int64 `json:"by_kind"`
-	// Yielding is the number of holds that may be evicted.
-	Yielding int `json:"yielding"`
-	// GaveWay counts the holds that were evicted, and Denied the calls of Take that failed.
-	GaveWay uint64 `json:"gave_way"`
+	// Evictable is the number of holds that may be evicted.
+	Evictable int `json:"yielding"`
+	// Evicted counts the holds that were evicted, and Denied the calls of Take that failed.
+	Evicted uint64 `json:"gave_way"`
 	Denied  uint64 `json:"denied"`
 }
 
@@ -89,8 +89,8 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	s := Status{
-		Bytes: b.cfg.Bytes, Used: b.used, Most: b.peak,
-		ByKind: make(map[string]int64, kinds), Yielding: len(b.evictable), GaveWay: b.evicted, Denied: b.denied,
+		Bytes: b.cfg.Bytes, Used: b.used, Peak: b.peak,
+		ByKind: make(map[string]int64, kinds), Evictable: len(b.evictable), Evicted: b.evicted, Denied: b.denied,
 	}
 	for k, n := range b.byKind {
 		s.ByKind[Kind(k).String()] = n
--- a/coordination/held/held_test.go
+++ b/coordination/held/held_test.go
@@ -170,8 +170,8 @@
 				for _, n := range s.ByKind {
 					byKind += n
 				}
-				if s.Used != sum || byKind != sum || s.Most > bound {
-					r.Fatalf("held %d, by kind %d, most %d of %d; the holds have %d", s.Used, byKind, s.Most, bound, sum)
+				if s.Used != sum || byKind != sum || s.Peak > bound {
+					r.Fatalf("held %d, by kind %d, most %d of %d; the holds have %d", s.Used, byKind, s.Peak, bound, sum)
 				}
 			},
 		})
@@ -187,10 +187,10 @@
 		err    error
 	}{
 		"a known length":                     {int64(len(body)), len(body), 1 << 20, nil},
-		"an unknown length":                  {Unknown, len(body), 1 << 20, nil},
-		"longer than allowed":                {Unknown, len(body) - 1, 1 << 20, ErrTooLong},
-		"no room at all":                     {Unknown, len(body), initialSize - 1, ErrNoRoom},
-		"no room for the rest":               {Unknown, len(body), 2 * initialSize, ErrNoRoom},
+		"an unknown length":                  {UnknownLength, len(body), 1 << 20, nil},
+		"longer than allowed":                {UnknownLength, len(body) - 1, 1 << 20, ErrTooLong},
+		"no room at all":                     {UnknownLength, len(body), initialSize - 1, ErrBudgetExhausted},
+		"no room for the rest":               {UnknownLength, len(body), 2 * initialSize, ErrBudgetExhausted},
 		"room for just the announced length": {int64(len(body)), 1 << 20, int64(len(body)) + 1, nil},
 	}
 	for name, c := range cases {
@@ -212,8 +212,8 @@
 	t.Run("a body that is announced and does not come takes little", func(t *testing.T) {
 		b := newManualClock().budget(1 << 20)
 		_, err := Read(io.MultiReader(bytes.NewReader(body[:1]), iotest.ErrReader(io.ErrUnexpectedEOF)), b.Open(Upload, "", nil), 1<<19, 1<<20)
-		if !errors.Is(err, io.ErrUnexpectedEOF) || b.Status().Most > initialSize {
-			t.Fatalf("error %v, %d bytes held", err, b.Status().Most)
+		if !errors.Is(err, io.ErrUnexpectedEOF) || b.Status().Peak > initialSize {
+			t.Fatalf("error %v, %d bytes held", err, b.Status().Peak)
 		}
 	})
 }
--- a/coordination/held/read.go
+++ b/coordination/held/read.go
@@ -9,8 +9,8 @@
 )
 
 var (
-	// ErrNoRoom is returned when the budget has no room for more data.
-	ErrNoRoom = errors.New("no room for what is read")
+	// ErrBudgetExhausted is returned when the budget has no room for more data.
+	ErrBudgetExhausted = errors.New("no room for what is read")
 	// ErrTooLong is returned when the data is longer than the limit.
 	ErrTooLong = errors.New("longer than allowed")
 )
@@ -19,11 +19,11 @@
 // announced but not sent takes no more than that.
 const initialSize = 16 << 10
 
-// Unknown is the length of data that does not announce it.
-const Unknown = -1
+// UnknownLength is the length of data that does not announce it.
+const UnknownLength = -1
 
 // Read reads to the end and reserves the memory for it in h, in steps as data comes. Length
-// is the announced length or Unknown, and limit the most bytes allowed. With an error it
+// is the announced length or UnknownLength, and limit the most bytes allowed. With an error it
 // returns the data read so far.
 func Read(r io.Reader, h *Hold, length int64, limit int) ([]byte, error) {
 	// One more byte detects the end, or data beyond the limit.
@@ -33,14 +33,14 @@
 	}
 	size := min(maxSize, initialSize)
 	if !h.Take(size) {
-		return nil, ErrNoRoom
+		return nil, ErrBudgetExhausted
 	}
 	data := make([]byte, 0, size)
 	for {
 		if len(data) == cap(data) {
 			next := min(2*cap(data), maxSize)
 			if !h.Take(next - cap(data)) {
-				return data, ErrNoRoom
+				return data, ErrBudgetExhausted
 			}
 			data = append(make([]byte, 0, next), data...)
 		}
--- a/coordination/home/answer.go
+++ b/coordination/home/answer.go
@@ -11,7 +11,7 @@
 	"runridge.example/runridge/state/schedule"
 )
 
-// unknownGroup answers an ask for a group that this box does not know with ReasonMoved, so
+// unknownGroup answers an ask for a group that this box does not know with ReasonHomeMoved, so
 // that the asking box tries another box. A starting box has the table before the endpoints.
 // When such asks were refused to the caller instead, 26 of the first 600 requests after all
 // boxes of a fleet had been killed were told to retry after a second.
@@ -20,9 +20,9 @@
 	if !ok {
 		return
 	}
-	h.cfg.Answers.Answer(a.Box, c.Group, schedule.Refuse{
+	h.cfg.Answers.Answer(a.Box, c.Group, schedule.Refusal{
 		Ask:        a,
-		Reason:     lifecycle.ReasonMoved,
+		Reason:     lifecycle.ReasonHomeMoved,
 		RetryAfter: time.Second,
 	})
 }
@@ -31,7 +31,7 @@
 func (h *Homes) answer(group string, decisions []schedule.Decision) {
 	for _, d := range decisions {
 		switch d := d.(type) {
-		case schedule.Refuse:
+		case schedule.Refusal:
 			h.logRefusal(group, d)
 			h.countRefused(group, d)
 		case schedule.Grant:
@@ -48,32 +48,32 @@
 			log.FieldEngine: e.Engine,
 			"group":         group,
 			"for_ms":        e.For.Milliseconds(),
-			"unreached":     e.Unreached,
+			"unreached":     e.Unreachable,
 			"results_lost":  e.ResultsLost,
-			"others_out":    e.OthersOut,
+			"others_out":    e.OthersEjected,
 			"others":        e.Others,
 		}).Info("engine_ejected")
 	}
 }
 
 // logRefusal logs a refusal with the state that it was decided on.
-func (h *Homes) logRefusal(group string, r schedule.Refuse) {
+func (h *Homes) logRefusal(group string, r schedule.Refusal) {
 	h.cfg.Log.WithFields(log.Fields{
 		log.FieldAsk:        r.Ask.ID.String(),
 		log.FieldReason:     string(r.Reason),
 		log.FieldGeneration: h.known.Table().Generation,
 		"group":             group,
-		"waiting":           r.Seen.Waiting,
-		"granted":           r.Seen.Granted,
-		"free_slots":        r.Seen.FreeSlots,
-		"paced_engines":     r.Seen.Paced,
-		"limited_engines":   r.Seen.Limited,
-		"idle_ms":           r.Seen.Idle.Milliseconds(),
-		"wait_ms":           r.Seen.Wait.Milliseconds(),
-		"left_ms":           r.Seen.Left.Milliseconds(),
+		"waiting":           r.Inputs.Waiting,
+		"granted":           r.Inputs.Granted,
+		"free_slots":        r.Inputs.FreeSlots,
+		"paced_engines":     r.Inputs.Paced,
+		"limited_engines":   r.Inputs.Limited,
+		"idle_ms":           r.Inputs.IdleLatency.Milliseconds(),
+		"wait_ms":           r.Inputs.Wait.Milliseconds(),
+		"left_ms":           r.Inputs.Remaining.Milliseconds(),
 		"retry_ms":          r.RetryAfter.Milliseconds(),
 		"spill":             r.Ask.Spill,
 		"late":              r.Ask.Late,
-		"age_ms":            r.Ask.Waited.Milliseconds(),
+		"age_ms":            r.Ask.Elapsed.Milliseconds(),
 	}).Info("home_refused")
 }
--- a/coordination/home/choose_test.go
+++ b/coordination/home/choose_test.go
@@ -78,7 +78,7 @@
 	}
 	r := NewRouter("box-0", nil)
 	r.SetLayout(layout)
-	r.SetLive(rank.Of(boxes).In(zones, regions), rank.Of(boxes).In(zones, regions))
+	r.SetLive(rank.Of(boxes).WithZones(zones, regions), rank.Of(boxes).WithZones(zones, regions))
 	for _, key := range layout.Keys() {
 		var in []string
 		for _, box := range r.HomesOf(key) {
--- a/coordination/home/cold.go
+++ b/coordination/home/cold.go
@@ -56,7 +56,7 @@
 }
 
 // endedGrantsTTL is how long the grants of an ended group may still count.
-const endedGrantsTTL = pace.OpenFor + pace.Span
+const endedGrantsTTL = pace.OpenTimeout + pace.Span
 
 // keepGrants keeps the grants of a group that ends: the group may start again shortly, or
 // its endpoints may join another group of this box.
@@ -174,14 +174,14 @@
 
 // countRefused counts a refusal while endpoints were held back because they are cold or at
 // their limit.
-func (h *Homes) countRefused(group string, r schedule.Refuse) {
+func (h *Homes) countRefused(group string, r schedule.Refusal) {
 	if h.cfg.Metrics == nil {
 		return
 	}
-	if r.Seen.Limited > 0 {
+	if r.Inputs.Limited > 0 {
 		h.cfg.Metrics.LimitRefused(h.serviceOf(group))
 	}
-	if r.Seen.Paced > r.Seen.Limited {
+	if r.Inputs.Paced > r.Inputs.Limited {
 		h.cfg.Metrics.ColdRefused(h.serviceOf(group))
 	}
 }
--- a/coordination/home/cold_test.go
+++ b/coordination/home/cold_test.go
@@ -70,7 +70,7 @@
 				time.Sleep(long)
 				c.change(r)
 				time.Sleep(long)
-				got, own := r.HomeFor("s/z2")
+				got, own := r.HomeDuration("s/z2")
 				if own != c.own || own && got != c.want {
 					t.Errorf("is home: %v for %v, want %v for %v", own, got, c.own, c.want)
 				}
@@ -140,7 +140,7 @@
 		if got := h.flood(); got != 5 {
 			t.Fatalf("%d grants, want 5", got)
 		}
-		h.drop("s", h.groups["s"], lifecycle.ReasonMoved)
+		h.drop("s", h.groups["s"], lifecycle.ReasonHomeMoved)
 		if got := h.flood(); got != 0 {
 			t.Errorf("%d grants in the same second after the group started again", got)
 		}
@@ -201,7 +201,7 @@
 				time.Sleep(long)
 				r.SetLayout(zoneOf(c.after))
 				time.Sleep(long)
-				if got, own := r.HomeFor(c.key); !own || got != c.want {
+				if got, own := r.HomeDuration(c.key); !own || got != c.want {
 					t.Errorf("is home: %v for %v, want %v; groups %v", own, got, c.want, r.layout.Load().Keys())
 				}
 			})
--- a/coordination/home/configure.go
+++ b/coordination/home/configure.go
@@ -18,7 +18,7 @@
 // configure applies changed groups to those that run here. Groups whose endpoints and table
 // are unchanged are skipped.
 func (h *Homes) configure(known group.Groups) {
-	if h.known.Table().Stamp().After(known.Table().Stamp()) {
+	if h.known.Table().Stamp().NewerThan(known.Table().Stamp()) {
 		return
 	}
 	sameTable := known.Table().Stamp() == h.known.Table().Stamp()
@@ -56,7 +56,7 @@
 // drop ends a group on this box and refuses the requests that wait in it.
 func (h *Homes) drop(key string, g *runningGroup, reason lifecycle.Reason) {
 	for _, a := range g.Waiters() {
-		h.cfg.Answers.Answer(a.Box, key, schedule.Refuse{Ask: a, Reason: reason, RetryAfter: time.Second})
+		h.cfg.Answers.Answer(a.Box, key, schedule.Refusal{Ask: a, Reason: reason, RetryAfter: time.Second})
 	}
 	delete(h.groups, key)
 	h.cold.keepGrants(time.Now(), g.Paced())
@@ -78,7 +78,7 @@
 			continue
 		}
 		if now.Sub(g.lastNeeded) >= retireAfter {
-			h.drop(key, g, lifecycle.ReasonMoved)
+			h.drop(key, g, lifecycle.ReasonHomeMoved)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	cfg := h.groupConfig(spec)
 	cfg.Cautious = h.cfg.Watch != nil
-	cfg.Paced = h.cold.endedGrants
+	cfg.PacedWindows = h.cold.endedGrants
 	g := &runningGroup{Group: schedule.New(cfg, h.start), spec: spec, lastNeeded: time.Now()}
 	h.groups[key] = g
 	h.watch(key, spec)
@@ -136,7 +136,7 @@
 		AccountLimit:  func(name string) int { return accounts[name].MaxInFlight },
 		ColdLimit:     h.coldLimit(spec.Key, s),
 		LimitShare:    h.limitShare(spec.Key),
-		Growing:       s.Engine != nil,
+		GrowingMemory: s.Engine != nil,
 		Plain:         s.Kind == table.KindPlain,
 		Policy:        h.cfg.Policy,
 		Health:        h.cfg.Health,
@@ -184,12 +184,12 @@
 			KVTokens:        e.KVTokens,
 			PrefillRate:     rate,
 			StepBase:        time.Duration(e.StepBaseUS) * time.Microsecond,
-			StepPer:         time.Duration(e.StepPerRequestUS) * time.Microsecond,
+			StepPerRequest:  time.Duration(e.StepPerRequestUS) * time.Microsecond,
 			KVBytesPerToken: e.KVBytesPerToken,
 			Leaving:         e.Leaving,
 			Weight:          m.Weight,
 			ColdUntil:       m.ColdUntil,
-			SharedBy:        t.ServicesOf(e),
+			SharedBy:        t.CountServices(e),
 		})
 	}
 	return out
--- a/coordination/home/home.go
+++ b/coordination/home/home.go
@@ -25,7 +25,7 @@
 
 // Body is the content of a Command. Boxes send schedule.Ask, schedule.Adopted,
 // schedule.Report, Prefilled, Withdrawn or Limits; the home's own watch of its engines
-// sends schedule.Load or Evicted; the stage keeper sends StageRefused or StageChanging.
+// sends schedule.LoadReport or Evicted; the stage keeper sends StageRefused or StageChanging.
 type Body any
 
 // Prefilled reports that the prefill of an attempt is done.
@@ -58,9 +58,9 @@
 type Answerer interface {
 	// Answer sends a decision to the box that asked.
 	Answer(box, group string, d schedule.Decision)
-	// Check asks a box which of its attempts are over. Engine, if not empty, is the engine
+	// CheckAttempts asks a box which of its attempts are over. Engine, if not empty, is the engine
 	// that holds memory for them.
-	Check(box, group, engine string, ids []lifecycle.AttemptID)
+	CheckAttempts(box, group, engine string, ids []lifecycle.AttemptID)
 	// HomeOf returns the home of a group as this box sees it.
 	HomeOf(group string) string
 }
@@ -148,7 +148,7 @@
 	commands    *ring.Ring[Command]
 	changes     chan group.Groups
 	liveChanged *ring.Ring[struct{}]
-	lost        atomic.Pointer[Lost]
+	lost        atomic.Pointer[LostProcesses]
 	paused      *ring.Ring[struct{}]
 	leaving     atomic.Bool
 	lastCheck   time.Time
@@ -209,8 +209,8 @@
 	}
 }
 
-// Lost lists processes that no longer run, as far as this box knows.
-type Lost struct {
+// LostProcesses lists processes that no longer run, as far as this box knows.
+type LostProcesses struct {
 	// Dead are the boxes that this one takes for dead. If one of them is alive, its holds
 	// show up in the engines' reports.
 	Dead []string
@@ -221,7 +221,7 @@
 
 // LiveChanged reports that the set of active boxes has changed, and which processes no
 // longer run. Their grants are released.
-func (h *Homes) LiveChanged(l Lost) {
+func (h *Homes) LiveChanged(l LostProcesses) {
 	h.lost.Store(&l)
 	// A pending signal already covers this change.
 	_ = h.liveChanged.Offer(struct{}{})
@@ -230,8 +230,8 @@
 // Leave stops accepting new asks; the boxes that send them go on to another box.
 func (h *Homes) Leave() { h.leaving.Store(true) }
 
-// Paused reports that this process was paused, so its state may be out of date.
-func (h *Homes) Paused() {
+// NotePause reports that this process was paused, so its state may be out of date.
+func (h *Homes) NotePause() {
 	_ = h.paused.Offer(struct{}{})
 }
 
@@ -290,7 +290,7 @@
 	now := time.Now()
 	h.cold.noteStep(now)
 	if a, ask := c.Body.(schedule.Ask); ask && h.leaving.Load() {
-		h.cfg.Answers.Answer(a.Box, c.Group, schedule.Refuse{Ask: a, Reason: lifecycle.ReasonMoved, RetryAfter: time.Second})
+		h.cfg.Answers.Answer(a.Box, c.Group, schedule.Refusal{Ask: a, Reason: lifecycle.ReasonHomeMoved, RetryAfter: time.Second})
 		return
 	}
 	g := h.groups[c.Group]
@@ -318,12 +318,12 @@
 		h.logEjections(c.Group, g)
 	case Withdrawn:
 		h.answer(c.Group, g.Withdraw(now, body.ID))
-	case schedule.Load:
+	case schedule.LoadReport:
 		g.Report(body)
 	case StageRefused:
-		g.Unchanged(body.Engine)
+		g.CancelStageChange(body.Engine)
 	case StageChanging:
-		g.Change(now, body.Engine, h.maxChangeTime(g))
+		g.BeginStageChange(now, body.Engine, h.maxChangeTime(g))
 	case Evicted:
 		h.evicted(g, body)
 	}
@@ -378,8 +378,8 @@
 		if g.Plain() {
 			age = plain
 		}
-		for box, ids := range g.Old(now, age) {
-			h.cfg.Answers.Check(box, key, "", ids)
+		for box, ids := range g.GrantedBefore(now, age) {
+			h.cfg.Answers.CheckAttempts(box, key, "", ids)
 		}
 	}
 }
--- a/coordination/home/home_test.go
+++ b/coordination/home/home_test.go
@@ -24,20 +24,20 @@
 // discardAnswers discards decisions and checks; this box is home of every group.
 type discardAnswers struct{}
 
-func (discardAnswers) Answer(string, string, schedule.Decision)            {}
-func (discardAnswers) Check(string, string, string, []lifecycle.AttemptID) {}
-func (discardAnswers) HomeOf(string) string                                { return "self" }
+func (discardAnswers) Answer(string, string, schedule.Decision)                    {}
+func (discardAnswers) CheckAttempts(string, string, string, []lifecycle.AttemptID) {}
+func (discardAnswers) HomeOf(string) string                                        { return "self" }
 
 func TestLostProcesses(t *testing.T) {
 	cases := map[string]struct {
-		lost Lost
+		lost LostProcesses
 		want int
 	}{
-		"the box is dead":             {lost: Lost{Dead: []string{"b"}}, want: 0},
-		"it restarted":                {lost: Lost{Starts: map[string]uint64{"b": 8}}, want: 0},
-		"the same process still runs": {lost: Lost{Starts: map[string]uint64{"b": 7}}, want: 1},
-		"its start is not known yet":  {lost: Lost{Starts: map[string]uint64{"b": 0}}, want: 1},
-		"another box restarted":       {lost: Lost{Starts: map[string]uint64{"c": 8}}, want: 1},
+		"the box is dead":             {lost: LostProcesses{Dead: []string{"b"}}, want: 0},
+		"it restarted":                {lost: LostProcesses{Starts: map[string]uint64{"b": 8}}, want: 0},
+		"the same process still runs": {lost: LostProcesses{Starts: map[string]uint64{"b": 7}}, want: 1},
+		"its start is not known yet":  {lost: LostProcesses{Starts: map[string]uint64{"b": 0}}, want: 1},
+		"another box restarted":       {lost: LostProcesses{Starts: map[string]uint64{"c": 8}}, want: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 		key := sample.Groups()[0].Key
 		id := lifecycle.AttemptID{Request: lifecycle.RequestID{Box: "b", Incarnation: 7, Sequence: 1}, Number: 1}
 		h.handle(Command{From: "b", Group: key, Body: schedule.Ask{ID: id, Box: "b", PromptTokens: 100, OutputTokens: 10}})
-		h.LiveChanged(Lost{})
+		h.LiveChanged(LostProcesses{})
 		h.releaseLost()
 		now := time.Now()
 		h.retire(now.Add(time.Hour))
@@ -165,7 +165,7 @@
 		// want is the reason of the refusal; empty means a grant.
 		want lifecycle.Reason
 	}{
-		"no endpoint has ever been known": {want: lifecycle.ReasonMoved},
+		"no endpoint has ever been known": {want: lifecycle.ReasonHomeMoved},
 		"the service has none":            {known: listed("o"), want: lifecycle.ReasonNoEngine},
 		"the service has one":             {known: listed("s")},
 		"its zone is drained":             {known: listed("s").WithDrained(time.Now(), map[string]bool{"": true}), want: lifecycle.ReasonNoEngine},
@@ -179,7 +179,7 @@
 				id := lifecycle.AttemptID{Request: lifecycle.RequestID{Box: "b", Incarnation: 7, Sequence: 1}, Number: 1}
 				h.handle(Command{From: "b", Group: "s", Body: schedule.Ask{ID: id, Box: "b"}})
 				convey.So(decisions, convey.ShouldHaveLength, 1)
-				refusal, _ := decisions[0].(schedule.Refuse)
+				refusal, _ := decisions[0].(schedule.Refusal)
 				convey.So(refusal.Reason, convey.ShouldEqual, c.want)
 			})
 		})
@@ -192,7 +192,7 @@
 	asked map[string]int
 }
 
-func (c countingAnswers) Check(_, group, _ string, ids []lifecycle.AttemptID) {
+func (c countingAnswers) CheckAttempts(_, group, _ string, ids []lifecycle.AttemptID) {
 	c.asked[group] += len(ids)
 }
 
--- a/coordination/home/limit.go
+++ b/coordination/home/limit.go
@@ -46,7 +46,7 @@
 
 // updateLimits passes the limits that a box knows to a group, and logs the changes.
 func (h *Homes) updateLimits(now time.Time, c Command, g *runningGroup, limits []schedule.EngineLimit) {
-	for _, change := range g.NameLimits(now, limits) {
+	for _, change := range g.UpdateLimits(now, limits) {
 		h.cfg.Log.WithFields(log.Fields{
 			log.FieldEngine: change.Engine,
 			"group":         c.Group,
--- a/coordination/home/limit_test.go
+++ b/coordination/home/limit_test.go
@@ -66,7 +66,7 @@
 			h.tick()
 		}
 		for _, d := range decisions {
-			if slot, ok := d.(schedule.Slot); ok && slot.Ask.ID == open && slot.Paced {
+			if slot, ok := d.(schedule.DecodeAssignment); ok && slot.Ask.ID == open && slot.Paced {
 				return
 			}
 		}
@@ -100,7 +100,7 @@
 func TestQuestionsCarryLimits(t *testing.T) {
 	sent := &sentBodies{bodies: make(map[string][]Body)}
 	r := NewRouter("self", sent)
-	keeper := notice.New(notice.Config{Log: log.Discard(), OnLimit: r.TellLimit})
+	keeper := notice.New(notice.Config{Log: log.Discard(), OnLimit: r.SendLimit})
 	r.Connect(nil, nil, keeper)
 	boxes := rank.Of([]string{"other"})
 	r.SetLive(boxes, boxes)
@@ -108,10 +108,10 @@
 	r.SetGroups(group.New(sample.WithGeneration(1), directory.Directory{}))
 	g := sample.Groups()[0]
 	engine := g.Members[0].Endpoint.Name
-	keeper.Answered(notice.Answered{Endpoint: engine, Notice: pace.Notice{Limit: pace.LimitOf(2)}})
-	r.Tell("stand-in", g.Key, askOf(1))
-	r.Tell("next", g.Key, schedule.Adopted{Ask: askOf(2)})
-	r.Tell("other", sample.Groups()[1].Key, askOf(3))
+	keeper.Answered(notice.Answer{Endpoint: engine, Notice: pace.Notice{Limit: pace.LimitOf(2)}})
+	r.Send("stand-in", g.Key, askOf(1))
+	r.Send("next", g.Key, schedule.Adopted{Ask: askOf(2)})
+	r.Send("other", sample.Groups()[1].Key, askOf(3))
 	received := map[string]string{}
 	for box, bodies := range sent.bodies {
 		for _, b := range bodies {
--- a/coordination/home/router.go
+++ b/coordination/home/router.go
@@ -29,8 +29,8 @@
 
 // Decisions receives the decisions and checks for requests of this box.
 type Decisions interface {
-	Decide(from, group string, d schedule.Decision)
-	Check(from, group, engine string, ids []lifecycle.AttemptID)
+	HandleDecision(from, group string, d schedule.Decision)
+	CheckAttempts(from, group, engine string, ids []lifecycle.AttemptID)
 }
 
 // Router sends questions to the homes of groups, and decisions back to the boxes that
@@ -197,9 +197,9 @@
 	}
 }
 
-// HomeFor returns how long this box has been the home of a group; false means that it is
+// HomeDuration returns how long this box has been the home of a group; false means that it is
 // not its home.
-func (r *Router) HomeFor(key string) (time.Duration, bool) {
+func (r *Router) HomeDuration(key string) (time.Duration, bool) {
 	begun, own := (*r.since.Load())[key]
 	return time.Since(begun), own
 }
@@ -256,14 +256,14 @@
 	return (*r.homes.Load())[key]
 }
 
-// Tell sends a body to the given home. An ask and an adopted plan carry the limits that the
+// Send sends a body to the given home. An ask and an adopted plan carry the limits that the
 // group's endpoints name, as far as this box knows them; an ask also carries the endpoints
 // that this box may not send to.
-func (r *Router) Tell(box, group string, body Body) ring.Outcome {
+func (r *Router) Send(box, group string, body Body) ring.Outcome {
 	switch b := body.(type) {
 	case schedule.Ask:
 		b.Limits = r.limitsOf(group)
-		b.Barred, b.Leaving = r.closedOf(group)
+		b.Excluded, b.Leaving = r.closedOf(group)
 		body = b
 	case schedule.Adopted:
 		b.Ask.Limits = r.limitsOf(group)
@@ -311,14 +311,14 @@
 	return barred, leaving
 }
 
-// RestOf returns the time until this box may send to the first endpoint of a group that is
+// LeastRest returns the time until this box may send to the first endpoint of a group that is
 // resting, or 0 if none is.
-func (r *Router) RestOf(key string) time.Duration {
+func (r *Router) LeastRest(key string) time.Duration {
 	g, ok := r.group(key)
 	if !ok {
 		return 0
 	}
-	return r.notices.LeastRest(g.Has)
+	return r.notices.ShortestRest(g.Has)
 }
 
 // group returns the group with a key.
@@ -330,8 +330,8 @@
 	return groups.Get(key)
 }
 
-// TellLimit sends the limit that an endpoint names to the homes of its groups.
-func (r *Router) TellLimit(l schedule.EngineLimit) {
+// SendLimit sends the limit that an endpoint names to the homes of its groups.
+func (r *Router) SendLimit(l schedule.EngineLimit) {
 	groups := r.groups.Load()
 	if groups == nil {
 		return
@@ -343,7 +343,7 @@
 		}
 		if box := r.HomeOf(key); box != "" {
 			// If it is lost, the next question carries the limit.
-			_ = r.Tell(box, key, Limits{Of: []schedule.EngineLimit{l}})
+			_ = r.Send(box, key, Limits{Of: []schedule.EngineLimit{l}})
 		}
 	}
 }
@@ -351,17 +351,17 @@
 // Answer sends a decision to the box that asked.
 func (r *Router) Answer(box, group string, d schedule.Decision) {
 	if box == r.self {
-		r.decisions.Decide(r.self, group, d)
+		r.decisions.HandleDecision(r.self, group, d)
 		return
 	}
 	// If the decision cannot be sent, the other box asks again.
 	_ = r.peers.SendDecision(box, group, d)
 }
 
-// Check asks a box which of its attempts are over.
-func (r *Router) Check(box, group, engine string, ids []lifecycle.AttemptID) {
+// CheckAttempts asks a box which of its attempts are over.
+func (r *Router) CheckAttempts(box, group, engine string, ids []lifecycle.AttemptID) {
 	if box == r.self {
-		r.decisions.Check(r.self, group, engine, ids)
+		r.decisions.CheckAttempts(r.self, group, engine, ids)
 		return
 	}
 	// If the question is lost, a later check asks again.
--- a/coordination/home/stages.go
+++ b/coordination/home/stages.go
@@ -121,7 +121,7 @@
 		return
 	}
 	for _, name := range slices.Concat(p.ToDecode, p.ToPrefill) {
-		g.Change(now, name, h.maxChangeTime(g))
+		g.BeginStageChange(now, name, h.maxChangeTime(g))
 	}
 }
 
--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -187,24 +187,24 @@
 		case <-m.leave:
 			view.Leave(now)
 		case name := <-m.refused:
-			view.Refused(now, name)
+			view.ConnectionRefused(now, name)
 		case <-tick.C:
 			m.send(view.Tick(now))
 		}
 		m.publish(view)
 		was := paused
-		paused = view.Distrusts(now)
-		if paused && !was || view.Denied() {
+		paused = view.PausedRecently(now)
+		if paused && !was || view.ReportedDead() {
 			m.cfg.Log.Warn("own_pause_noticed")
-			m.ReadAgain()
+			m.RereadList()
 			m.cfg.OnPause()
 		}
 	}
 }
 
-// ReadAgain makes the list be read at once: the box may have missed messages, or be
+// RereadList makes the list be read at once: the box may have missed messages, or be
 // missing from the list.
-func (m *Members) ReadAgain() {
+func (m *Members) RereadList() {
 	select {
 	case m.rereadRequest <- struct{}{}:
 	default:
@@ -239,7 +239,7 @@
 		interval := time.Duration(float64(took) / publishShare)
 		m.nextPublish = start.Add(min(interval, maxPublishDelay))
 	}()
-	s := Snapshot{Duty: view.Duty(), All: view.All(), Listed: m.listed.boxes}
+	s := Snapshot{Duty: view.DutyCandidates(), All: view.All(), Listed: m.listed.boxes}
 	m.snapshot.Store(&s)
 	names := make([]string, 0, len(s.Duty))
 	for _, b := range s.Duty {
@@ -255,7 +255,7 @@
 		if b.Name == m.cfg.View.Self.Name {
 			continue
 		}
-		view.Introduce(now, member.Box{Name: b.Name, Address: b.Address, Zone: b.Zone, Wire: b.Wire})
+		view.AddListed(now, member.Box{Name: b.Name, Address: b.Address, Zone: b.Zone, Wire: b.Wire})
 	}
 	// Boxes known from the list alone are published with the next change; only the listed
 	// entries are updated here.
--- a/coordination/notice/notice.go
+++ b/coordination/notice/notice.go
@@ -32,8 +32,8 @@
 	Now func() time.Time
 }
 
-// Answered is an endpoint's answer to a call of this box.
-type Answered struct {
+// Answer is an endpoint's answer to a call of this box.
+type Answer struct {
 	// Request and Endpoint are the IDs of both; a call that isn't made for a caller has no
 	// request.
 	Request, Endpoint string
@@ -62,18 +62,18 @@
 
 // standing returns whether an endpoint whose last known start is born may be sent
 // requests.
-func (e entry) standing(now time.Time, born int64) Standing {
+func (e entry) standing(now time.Time, born int64) Availability {
 	if e.born != born {
-		return Standing{}
+		return Availability{}
 	}
-	return Standing{
+	return Availability{
 		Leaving: e.leaving && (e.leavingUntil.IsZero() || now.Before(e.leavingUntil)),
 		Rest:    max(e.restUntil.Sub(now), 0),
 	}
 }
 
-// Standing describes whether this box may send requests to an endpoint.
-type Standing struct {
+// Availability describes whether this box may send requests to an endpoint.
+type Availability struct {
 	// Leaving is set if the endpoint has announced that it is leaving.
 	Leaving bool
 	// Rest is how much longer the endpoint wants no requests from this box.
@@ -81,7 +81,7 @@
 }
 
 // Open reports whether the box may send.
-func (s Standing) Open() bool { return s.Reason() == "" }
+func (s Availability) Open() bool { return s.Reason() == "" }
 
 // Reasons for which this box does not send to an endpoint that serves others.
 const (
@@ -90,7 +90,7 @@
 )
 
 // Reason returns why the box may not send, or an empty string if it may.
-func (s Standing) Reason() string {
+func (s Availability) Reason() string {
 	switch {
 	case s.Leaving:
 		return ReasonLeaving
@@ -104,7 +104,7 @@
 // Closed is an endpoint to which this box may not send.
 type Closed struct {
 	Endpoint string
-	Standing
+	Availability
 }
 
 const (
@@ -138,7 +138,7 @@
 }
 
 // Answered records the notices in an answer.
-func (k *Keeper) Answered(a Answered) {
+func (k *Keeper) Answered(a Answer) {
 	if k == nil {
 		return
 	}
@@ -148,7 +148,7 @@
 
 // noteClosed records that an endpoint is leaving or wants rest. An answer without such a
 // notice ends neither, because answers may arrive out of order.
-func (k *Keeper) noteClosed(a Answered) {
+func (k *Keeper) noteClosed(a Answer) {
 	n := a.Notice
 	if !n.Leaving && n.Rest <= 0 {
 		return
@@ -186,7 +186,7 @@
 	}).Info("endpoint_closed")
 }
 
-func (k *Keeper) noteLimit(a Answered) {
+func (k *Keeper) noteLimit(a Answer) {
 	limit := a.Notice.Limit
 	if !limit.Named && !a.Served {
 		return
@@ -298,16 +298,16 @@
 	return k.entries[endpoint].limit.Named
 }
 
-// Standing returns whether this box may send to an endpoint.
-func (k *Keeper) Standing(endpoint string) Standing {
+// Availability returns whether this box may send to an endpoint.
+func (k *Keeper) Availability(endpoint string) Availability {
 	if k == nil {
-		return Standing{}
+		return Availability{}
 	}
 	k.mutex.Lock()
 	e, may := k.entries[endpoint], k.closed[endpoint]
 	k.mutex.Unlock()
 	if !may {
-		return Standing{}
+		return Availability{}
 	}
 	return e.standing(k.cfg.Now(), k.cfg.Born(endpoint))
 }
@@ -339,15 +339,15 @@
 		}
 		k.mutex.Unlock()
 		if !standing.Open() {
-			out = append(out, Closed{Endpoint: endpoint, Standing: standing})
+			out = append(out, Closed{Endpoint: endpoint, Availability: standing})
 		}
 	}
 	return out
 }
 
-// LeastRest returns the shortest remaining rest among the resting endpoints for which of
+// ShortestRest returns the shortest remaining rest among the resting endpoints for which of
 // returns true, or 0 if none rests.
-func (k *Keeper) LeastRest(of func(endpoint string) bool) time.Duration {
+func (k *Keeper) ShortestRest(of func(endpoint string) bool) time.Duration {
 	least := time.Duration(0)
 	for _, c := range k.Closed() {
 		if !c.Leaving && (least == 0 || c.Rest < least) && of(c.Endpoint) {
--- a/coordination/notice/notice_test.go
+++ b/coordination/notice/notice_test.go
@@ -39,17 +39,17 @@
 
 func TestAnswers(t *testing.T) {
 	cases := map[string]struct {
-		answers []Answered
+		answers []Answer
 		names   bool
 		changes int
 	}{
-		"one that names a limit":           {answers: []Answered{{Notice: pace.Notice{Limit: three}, Served: true}}, names: true, changes: 1},
-		"another one":                      {answers: []Answered{{Notice: pace.Notice{Limit: three}, Served: true}, {Notice: pace.Notice{Limit: three}, Served: true}}, names: true, changes: 1},
-		"another limit":                    {answers: []Answered{{Notice: pace.Notice{Limit: three}, Served: true}, {Notice: pace.Notice{Limit: pace.LimitOf(2)}}}, names: true, changes: 2},
-		"one that rejects the request":     {answers: []Answered{{Notice: pace.Notice{Limit: three}}}, names: true, changes: 1},
-		"one that names none":              {answers: []Answered{{Notice: pace.Notice{Limit: three}}, {Served: true}}, changes: 2},
-		"none named, rejected":             {answers: []Answered{{Notice: pace.Notice{Limit: three}}, {}}, names: true, changes: 1},
-		"none named where none was before": {answers: []Answered{{Served: true}}},
+		"one that names a limit":           {answers: []Answer{{Notice: pace.Notice{Limit: three}, Served: true}}, names: true, changes: 1},
+		"another one":                      {answers: []Answer{{Notice: pace.Notice{Limit: three}, Served: true}, {Notice: pace.Notice{Limit: three}, Served: true}}, names: true, changes: 1},
+		"another limit":                    {answers: []Answer{{Notice: pace.Notice{Limit: three}, Served: true}, {Notice: pace.Notice{Limit: pace.LimitOf(2)}}}, names: true, changes: 2},
+		"one that rejects the request":     {answers: []Answer{{Notice: pace.Notice{Limit: three}}}, names: true, changes: 1},
+		"one that names none":              {answers: []Answer{{Notice: pace.Notice{Limit: three}}, {Served: true}}, changes: 2},
+		"none named, rejected":             {answers: []Answer{{Notice: pace.Notice{Limit: three}}, {}}, names: true, changes: 1},
+		"none named where none was before": {answers: []Answer{{Served: true}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 func TestLaterReportCounts(t *testing.T) {
 	now := time.Unix(10, 0)
 	k, changes := newKeeper(&now)
-	k.Answered(Answered{Endpoint: "e", Notice: pace.Notice{Limit: three}})
+	k.Answered(Answer{Endpoint: "e", Notice: pace.Notice{Limit: three}})
 	now = now.Add(time.Second)
 	k.Heard([]schedule.EngineLimit{{Engine: "e", Age: 2 * time.Second}})
 	if !k.Limited("e") {
@@ -88,7 +88,7 @@
 // endpoint's answer, in either order.
 func TestEachChangeOfALimitIsLogged(t *testing.T) {
 	answered := func(k *Keeper, l pace.Limit) {
-		k.Answered(Answered{Endpoint: "e", Notice: pace.Notice{Limit: l}, Served: true})
+		k.Answered(Answer{Endpoint: "e", Notice: pace.Notice{Limit: l}, Served: true})
 	}
 	reported := func(k *Keeper, l pace.Limit) { k.Heard([]schedule.EngineLimit{{Engine: "e", Limit: l}}) }
 	cases := map[string]struct {
@@ -148,22 +148,22 @@
 		// after is the time since the last step, and born the start known by then.
 		after time.Duration
 		born  int64
-		want  Standing
+		want  Availability
 	}{
 		"nothing said":                   {steps: []step{{}}},
-		"leaves":                         {steps: []step{{notice: leaving}}, want: Standing{Leaving: true}},
-		"leaves, a later answer is bare": {steps: []step{{notice: leaving}, {}}, after: time.Hour, want: Standing{Leaving: true}},
+		"leaves":                         {steps: []step{{notice: leaving}}, want: Availability{Leaving: true}},
+		"leaves, a later answer is bare": {steps: []step{{notice: leaving}, {}}, after: time.Hour, want: Availability{Leaving: true}},
 		"left, and started again":        {steps: []step{{notice: leaving, born: 1}}, born: 2},
 		"may have started again":         {steps: []step{{notice: leaving, restarts: true}}, after: leavingTimeout},
-		"has hardly started again":       {steps: []step{{notice: leaving, restarts: true}}, after: leavingTimeout - 1, want: Standing{Leaving: true}},
-		"rests":                          {steps: []step{{notice: resting}}, after: time.Second, want: Standing{Rest: 2 * time.Second}},
+		"has hardly started again":       {steps: []step{{notice: leaving, restarts: true}}, after: leavingTimeout - 1, want: Availability{Leaving: true}},
+		"rests":                          {steps: []step{{notice: resting}}, after: time.Second, want: Availability{Rest: 2 * time.Second}},
 		"has rested":                     {steps: []step{{notice: resting}}, after: 3 * time.Second},
-		"rests, a later answer is bare":  {steps: []step{{notice: resting}, {after: time.Second}}, want: Standing{Rest: 2 * time.Second}},
-		"asks for less while it rests":   {steps: []step{{notice: resting}, {notice: pace.Notice{Rest: time.Second}}}, want: Standing{Rest: 3 * time.Second}},
+		"rests, a later answer is bare":  {steps: []step{{notice: resting}, {after: time.Second}}, want: Availability{Rest: 2 * time.Second}},
+		"asks for less while it rests":   {steps: []step{{notice: resting}, {notice: pace.Notice{Rest: time.Second}}}, want: Availability{Rest: 3 * time.Second}},
 		"rests, and started again":       {steps: []step{{notice: resting, born: 1}}, born: 2},
-		"rests, then leaves":             {steps: []step{{notice: resting}, {notice: leaving}}, want: Standing{Leaving: true, Rest: 3 * time.Second}},
-		"wants more than can be stored":  {steps: []step{{notice: pace.Notice{Rest: 1 << 62}}}, want: Standing{Rest: maxRest}},
-		"a limit beside":                 {steps: []step{{notice: pace.Notice{Leaving: true, Limit: three}}}, want: Standing{Leaving: true}},
+		"rests, then leaves":             {steps: []step{{notice: resting}, {notice: leaving}}, want: Availability{Leaving: true, Rest: 3 * time.Second}},
+		"wants more than can be stored":  {steps: []step{{notice: pace.Notice{Rest: 1 << 62}}}, want: Availability{Rest: maxRest}},
+		"a limit beside":                 {steps: []step{{notice: pace.Notice{Leaving: true, Limit: three}}}, want: Availability{Leaving: true}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -171,17 +171,17 @@
 			k := New(Config{Log: log.Discard(), Now: func() time.Time { return now }, Born: func(string) int64 { return c.born }})
 			for _, s := range c.steps {
 				now = now.Add(s.after)
-				k.Answered(Answered{Endpoint: "e", Born: s.born, Restarts: s.restarts, Notice: s.notice, Served: true})
+				k.Answered(Answer{Endpoint: "e", Born: s.born, Restarts: s.restarts, Notice: s.notice, Served: true})
 			}
 			now = now.Add(c.after)
-			if got := k.Standing("e"); got != c.want {
+			if got := k.Availability("e"); got != c.want {
 				t.Errorf("stands at %+v, want %+v", got, c.want)
 			}
 			closed := k.Closed()
-			if c.want.Open() != (len(closed) == 0) || len(closed) > 0 && closed[0] != (Closed{Endpoint: "e", Standing: c.want}) {
+			if c.want.Open() != (len(closed) == 0) || len(closed) > 0 && closed[0] != (Closed{Endpoint: "e", Availability: c.want}) {
 				t.Errorf("closed are %+v, want %+v", closed, c.want)
 			}
-			if k.Standing("other") != (Standing{}) {
+			if k.Availability("other") != (Availability{}) {
 				t.Error("another endpoint is closed")
 			}
 		})
@@ -192,13 +192,13 @@
 func TestClosedEndpointsAreKept(t *testing.T) {
 	now := time.Unix(0, 0)
 	k, _ := newKeeper(&now)
-	k.Answered(Answered{Endpoint: "leaves", Notice: pace.Notice{Leaving: true}})
+	k.Answered(Answer{Endpoint: "leaves", Notice: pace.Notice{Leaving: true}})
 	for i := range 2 * maxEntries {
 		now = now.Add(time.Second)
-		k.Answered(Answered{Endpoint: fmt.Sprintf("e%d", i), Notice: pace.Notice{Limit: three}})
+		k.Answered(Answer{Endpoint: fmt.Sprintf("e%d", i), Notice: pace.Notice{Limit: three}})
 	}
-	if len(k.entries) != maxEntries || k.Standing("leaves").Open() {
-		t.Errorf("%d are kept, the endpoint that leaves is open: %v", len(k.entries), k.Standing("leaves").Open())
+	if len(k.entries) != maxEntries || k.Availability("leaves").Open() {
+		t.Errorf("%d are kept, the endpoint that leaves is open: %v", len(k.entries), k.Availability("leaves").Open())
 	}
 }
 
@@ -209,7 +209,7 @@
 	for i := range maxEntries + 1 {
 		now = now.Add(time.Second)
 		all = append(all, fmt.Sprintf("e%d", i))
-		k.Answered(Answered{Endpoint: all[i], Notice: pace.Notice{Limit: three}})
+		k.Answered(Answer{Endpoint: all[i], Notice: pace.Notice{Limit: three}})
 	}
 	if len(k.entries) != maxEntries || k.Limited(all[0]) || !k.Limited(all[1]) {
 		t.Errorf("%d are kept, the oldest among them: %v", len(k.entries), k.Limited(all[0]))
@@ -234,9 +234,9 @@
 
 func TestNoKeeper(t *testing.T) {
 	var k *Keeper
-	k.Answered(Answered{Endpoint: "e", Notice: pace.Notice{Limit: three}})
+	k.Answered(Answer{Endpoint: "e", Notice: pace.Notice{Limit: three}})
 	k.Heard([]schedule.EngineLimit{{Engine: "e", Limit: three}})
-	if k.Limited("e") || k.Limits(members("e"), 0) != nil || !k.Standing("e").Open() || k.Closed() != nil {
+	if k.Limited("e") || k.Limits(members("e"), 0) != nil || !k.Availability("e").Open() || k.Closed() != nil {
 		t.Error("without a keeper a limit is kept")
 	}
 }
--- a/coordination/owner/owner.go
+++ b/coordination/owner/owner.go
@@ -19,12 +19,12 @@
 type Verdict uint8
 
 const (
-	// There means that the owner can be asked.
-	There Verdict = iota
-	// Silent means that the owner does not answer, which proves nothing.
-	Silent
-	// Gone means that the owner is proved to have ended.
-	Gone
+	// Reachable means that the owner can be asked.
+	Reachable Verdict = iota
+	// Unreachable means that the owner does not answer, which proves nothing.
+	Unreachable
+	// Ended means that the owner is proved to have ended.
+	Ended
 )
 
 // Prober proves that no process listens at an address any more: the machine answered, and
@@ -33,15 +33,15 @@
 	Refused(ctx context.Context, address string) bool
 }
 
-// Config configures a Judge.
+// Config configures a Checker.
 type Config struct {
 	Members func() members.Snapshot
 	Prober  Prober
 }
 
-// Judge decides whether the owner of a request still runs, and caches proofs that it does
+// Checker decides whether the owner of a request still runs, and caches proofs that it does
 // not.
-type Judge struct {
+type Checker struct {
 	cfg    Config
 	mutex  sync.Mutex
 	proofs map[process]bool
@@ -56,38 +56,38 @@
 // maxProofs bounds the cached proofs.
 const maxProofs = 256
 
-// New returns a Judge without cached proofs.
-func New(cfg Config) *Judge {
-	return &Judge{cfg: cfg, proofs: make(map[process]bool)}
+// New returns a Checker without cached proofs.
+func New(cfg Config) *Checker {
+	return &Checker{cfg: cfg, proofs: make(map[process]bool)}
 }
 
-// Of returns what is known of the owner of a request. A newer process under the owner's
+// Check returns what is known of the owner of a request. A newer process under the owner's
 // name, a refused connection, and a platform list without the box prove that the owner has
 // ended.
-func (j *Judge) Of(ctx context.Context, id lifecycle.RequestID) Verdict {
+func (j *Checker) Check(ctx context.Context, id lifecycle.RequestID) Verdict {
 	view := j.cfg.Members()
 	b, known := view.Box(id.Box)
 	_, listed := view.Listed[id.Box]
 	unlisted := len(view.Listed) > 0 && !listed
 	switch {
 	case !known && unlisted:
-		return Gone
+		return Ended
 	case !known:
-		return Silent
+		return Unreachable
 	case b.Start > id.Incarnation:
-		return Gone
+		return Ended
 	case b.State != member.Dead:
-		return There
+		return Reachable
 	case unlisted || j.connectionRefused(ctx, b):
-		return Gone
+		return Ended
 	default:
-		return Silent
+		return Unreachable
 	}
 }
 
 // connectionRefused reports whether the box refuses connections, and caches a positive
 // answer.
-func (j *Judge) connectionRefused(ctx context.Context, b member.Box) bool {
+func (j *Checker) connectionRefused(ctx context.Context, b member.Box) bool {
 	p := process{box: b.Name, start: b.Start}
 	j.mutex.Lock()
 	proved := j.proofs[p]
--- a/coordination/quarantine/check.go
+++ b/coordination/quarantine/check.go
@@ -179,7 +179,7 @@
 	switch {
 	case listed && now.Born != c.status.Born:
 		return "started_again", true
-	case listed && now.Left:
+	case listed && now.Replaced:
 		return "replaced", true
 	case c.state == stateUnreached && (!listed || now.Gone && !now.Draining):
 		return "not_listed", true
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -55,9 +55,9 @@
 	// Tree returns the same boxes in the order of the tree by which an origin's updates are
 	// forwarded; nil means the order of Ranked.
 	Tree func(key, origin string) []string
-	// Heads returns, for each other region, the box that receives updates for it, in the
+	// RegionEntries returns, for each other region, the box that receives updates for it, in the
 	// same order for a key; nil means none.
-	Heads func(key string) []string
+	RegionEntries func(key string) []string
 	// Metrics may be nil.
 	Metrics Metrics
 	Log     log.Logger
@@ -154,7 +154,7 @@
 // nothing about the request.
 func (k *Keeper) reportLoss(l loss) {
 	status, known := k.cfg.Find(l.endpoint)
-	if !known || !status.Usable() && !status.Left {
+	if !known || !status.Usable() && !status.Replaced {
 		return
 	}
 	l.status, l.at = status, k.cfg.Now()
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -133,7 +133,7 @@
 	for _, from := range f.names {
 		for _, to := range f.names {
 			if from != to && !f.cut[from] && !f.cut[to] {
-				f.boxes[to].Heard(from, f.boxes[from].Digest())
+				f.boxes[to].ReceiveDigest(from, f.boxes[from].Digest())
 			}
 		}
 	}
@@ -195,7 +195,7 @@
 	for _, b := range boxes {
 		f.zones[b.Name] = b.Zone
 		way := spread.New(b, boxes, regions)
-		f.boxes[b.Name].cfg.Ranked, f.boxes[b.Name].cfg.Heads = way.Near, way.Heads
+		f.boxes[b.Name].cfg.Ranked, f.boxes[b.Name].cfg.RegionEntries = way.Near, way.RegionEntries
 	}
 	f.recordEnds("b003", poisoned, 1, 2, 3)
 	if n := len(f.blocking(poisoned)); n != 150 {
@@ -350,7 +350,7 @@
 		"nothing listens there": {answer: errRefused, want: true},
 		"it listens":            {answer: listening},
 		"it listens, and starts again under its id": {answer: listening, after: bornAgain, want: true},
-		"it listens, and another has its address":   {answer: listening, after: func(d directory.Directory) directory.Directory { return d.WithLeft("e1") }, want: true},
+		"it listens, and another has its address":   {answer: listening, after: func(d directory.Directory) directory.Directory { return d.WithReplaced("e1") }, want: true},
 		"it listens, and leaves unannounced":        {answer: listening, after: gone},
 		"it is silent":                              {silent: true},
 		"it is silent, and its entry goes":          {silent: true, after: gone, want: true},
--- a/coordination/quarantine/share.go
+++ b/coordination/quarantine/share.go
@@ -27,10 +27,10 @@
 	for part := range slices.Chunk(news, poison.MaxSent) {
 		u := poison.Update{Origin: k.cfg.Self, Suspects: part}
 		k.forward(u)
-		if k.cfg.Heads == nil {
+		if k.cfg.RegionEntries == nil {
 			continue
 		}
-		for _, box := range k.cfg.Heads(treeKey(u.Origin)) {
+		for _, box := range k.cfg.RegionEntries(treeKey(u.Origin)) {
 			k.cfg.Peers.SendSuspects(box, u)
 		}
 	}
@@ -38,7 +38,7 @@
 
 // forward sends an update to this box's children in its region's tree.
 func (k *Keeper) forward(u poison.Update) {
-	for _, box := range spread.Below(spread.Draw(k.cfg.Tree, k.cfg.Ranked, treeKey(u.Origin), u.Origin), k.cfg.Self) {
+	for _, box := range spread.Children(spread.TreeOrder(k.cfg.Tree, k.cfg.Ranked, treeKey(u.Origin), u.Origin), k.cfg.Self) {
 		k.cfg.Peers.SendSuspects(box, u)
 	}
 }
@@ -65,8 +65,8 @@
 	return k.digest
 }
 
-// Heard receives the digest of another box, and pulls from it if it differs.
-func (k *Keeper) Heard(from string, digest uint64) {
+// ReceiveDigest receives the digest of another box, and pulls from it if it differs.
+func (k *Keeper) ReceiveDigest(from string, digest uint64) {
 	now := k.cfg.Now()
 	k.mutex.Lock()
 	pull := digest != 0 && digest != k.digest && now.Sub(k.pulled) >= pullInterval
@@ -82,7 +82,7 @@
 // Pull sends all that this box knows to a box that asks for it.
 func (k *Keeper) Pull(from string) {
 	k.mutex.Lock()
-	known := k.ledger.PassedOn(k.cfg.Now())
+	known := k.ledger.Announced(k.cfg.Now())
 	k.mutex.Unlock()
 	for part := range slices.Chunk(known, poison.MaxSent) {
 		k.cfg.Peers.SendSuspects(from, poison.Update{Suspects: part})
--- a/coordination/quota/admit.go
+++ b/coordination/quota/admit.go
@@ -77,8 +77,8 @@
 	k.purses[account] = k.purses[account].WithReturned(k.uptime(), units)
 }
 
-// GiveBack returns to the purse the cost of a request that reached no endpoint.
-func (k *Keeper) GiveBack(account string, cost float64) {
+// Refund returns to the purse the cost of a request that reached no endpoint.
+func (k *Keeper) Refund(account string, cost float64) {
 	k.lend(account, k.uptime(), cost)
 }
 
@@ -92,7 +92,7 @@
 	if len(k.purses) >= maxPurses {
 		k.dropIdle(now, life)
 	}
-	p, lacks := k.purses[u.Account].WithSpent(now, u.Cost)
+	p, lacks := k.purses[u.Account].WithCharge(now, u.Cost)
 	p = p.WithUse(now, u.Cost, life)
 	k.purses[u.Account] = p
 	return now, lacks, p.Ahead(now, life)
--- a/coordination/quota/fleet_test.go
+++ b/coordination/quota/fleet_test.go
@@ -452,7 +452,7 @@
 		home := w.boxes[0]
 		home.admit(ctx, 1, 10)
 		time.Sleep(5 * time.Second)
-		home.keeper.Paused()
+		home.keeper.NotePause()
 		if v := home.admit(ctx, 2, 20_000); v.Outcome != Over {
 			t.Errorf("a home that was paused decided %+v", v)
 		}
--- a/coordination/quota/home.go
+++ b/coordination/quota/home.go
@@ -168,7 +168,7 @@
 		})
 	}
 	for _, name := range slices.Sorted(maps.Keys(k.purses)) {
-		if left := k.purses[name].Left(now); left > 0 {
+		if left := k.purses[name].Balance(now); left > 0 {
 			s.Purses = append(s.Purses, PurseStatus{Account: name, Left: left})
 		}
 	}
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// Paused drops all buckets: this box was paused or was taken for dead, and other homes may
+// NotePause drops all buckets: this box was paused or was taken for dead, and other homes may
 // have lent the same units meanwhile.
-func (k *Keeper) Paused() {
+func (k *Keeper) NotePause() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	for name := range k.buckets {
--- a/coordination/relay/account.go
+++ b/coordination/relay/account.go
@@ -61,7 +61,7 @@
 	if !h.request.Credential.Valid {
 		reason = reasonNoKey
 	}
-	if h.request.Credential.Valid && h.relay.cfg.Current != nil && !h.relay.cfg.Current() {
+	if h.request.Credential.Valid && h.relay.cfg.TableCurrent != nil && !h.relay.cfg.TableCurrent() {
 		h.refuse(http.StatusServiceUnavailable, reasonKeyUnconfirmed, unconfirmedRetry)
 		return false
 	}
@@ -135,7 +135,7 @@
 // refund returns the cost of a request that reached no endpoint.
 func (h *handler) refund() {
 	if h.charged > 0 && h.sends+h.prefills == 0 {
-		h.relay.cfg.Quotas.GiveBack(h.chargedTo, h.charged)
+		h.relay.cfg.Quotas.Refund(h.chargedTo, h.charged)
 	}
 }
 
--- a/coordination/relay/answer.go
+++ b/coordination/relay/answer.go
@@ -39,7 +39,7 @@
 	defer hold.Close()
 	body, err := held.Read(a.Body, hold, a.Length, maxBufferedAnswer)
 	switch {
-	case errors.Is(err, held.ErrTooLong), errors.Is(err, held.ErrNoRoom):
+	case errors.Is(err, held.ErrTooLong), errors.Is(err, held.ErrBudgetExhausted):
 		return h.relayLong(ctx, id, a, body)
 	case err != nil:
 		return h.noteBreak(ctx, err, result{kind: failed, endpoint: id, reason: "answer_cut"})
@@ -110,7 +110,7 @@
 		return h.endStalled()
 	}
 	h.noteBreak(ctx, err, result{endpoint: id})
-	h.caller.Break()
+	h.caller.Abort()
 	h.recordEnd("broken", "answer_cut")
 	return result{}
 }
--- a/coordination/relay/exchange.go
+++ b/coordination/relay/exchange.go
@@ -54,7 +54,7 @@
 		decode, ok = h.awaitSlot(ctx, a.ID, h.keptTTL()*7/10)
 	}
 	if !ok {
-		return result{kind: refused, reason: string(lifecycle.ReasonHopeless), retryAfter: noSlotRetry}
+		return result{kind: refused, reason: string(lifecycle.ReasonTargetUnreachable), retryAfter: noSlotRetry}
 	}
 	res := h.send(ctx, decode, h.kept.source())
 	switch {
@@ -124,7 +124,7 @@
 		h.noteArrival()
 		h.noteAddressTaken(answer, engine)
 		_ = answer.Discard()
-		return result{kind: turnedAway, endpoint: engine.ID, full: answer.NotRun && !answer.OtherHere, reason: "prefill_refused"}
+		return result{kind: turnedAway, endpoint: engine.ID, full: answer.NotRun && !answer.AddressTaken, reason: "prefill_refused"}
 	}
 	if h.prefillAccepted {
 		h.noteArrival()
@@ -152,8 +152,8 @@
 
 // noteAddressTaken informs the directory if another endpoint now has the address of e.
 func (h *handler) noteAddressTaken(a *Answer, e Endpoint) {
-	if a.OtherHere {
-		h.relay.cfg.Directory.Left(e.ID)
+	if a.AddressTaken {
+		h.relay.cfg.Directory.MarkReplaced(e.ID)
 	}
 }
 
@@ -168,7 +168,7 @@
 		Header:    h.requestHeader(),
 		Body:      h.request.Body,
 		HasBody:   h.request.HasBody,
-		Left:      time.Until(h.deadline),
+		Remaining: time.Until(h.deadline),
 		LastEvent: h.lastEvent,
 		Account:   h.accountName(),
 	}
@@ -176,7 +176,7 @@
 
 // requestHeader returns the header fields that are forwarded. The caller's credentials are
 // among them only if no table of this process ever had accounts.
-func (h *handler) requestHeader() []Field {
+func (h *handler) requestHeader() []HeaderField {
 	h.relay.mutex.Lock()
 	keyed := h.relay.hadAccounts
 	h.relay.mutex.Unlock()
@@ -220,7 +220,7 @@
 	if answer.NotRun {
 		h.noteAddressTaken(answer, e)
 		_ = answer.Discard()
-		return result{kind: turnedAway, endpoint: id, full: !answer.OtherHere, reason: "endpoint_turned_away"}
+		return result{kind: turnedAway, endpoint: id, full: !answer.AddressTaken, reason: "endpoint_turned_away"}
 	}
 	h.runs++
 	if !answer.Signed || answer.Encoded {
@@ -242,7 +242,7 @@
 		res.broke, res.endpoint = adapter.BreakOwn, ""
 	}
 	if h.relay.cfg.Metrics != nil {
-		h.relay.cfg.Metrics.BrokeOff(h.service.Name, string(res.broke))
+		h.relay.cfg.Metrics.ExchangeBroken(h.service.Name, string(res.broke))
 	}
 	if !res.unreached {
 		h.suspect().BrokeOff(res.endpoint, res.broke, res.ran)
--- a/coordination/relay/paced.go
+++ b/coordination/relay/paced.go
@@ -19,20 +19,20 @@
 // grant is dated by it plus the time the ask waited there, so that the time on the network
 // counts as elapsed.
 func countedBy(g schedule.Grant, askedAt time.Time) pace.Counted {
-	return pace.Counted{Prefill: g.PacedPrefill, Decode: g.PacedDecode, Granted: askedAt.Add(g.Held)}
+	return pace.Counted{Prefill: g.PacedPrefill, Decode: g.PacedDecode, Granted: askedAt.Add(g.QueueTime)}
 }
 
 // SetColdBound replaces the limit on requests to cold endpoints.
 func (r *Relay) SetColdBound(b pace.Bound) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.cfg.Cold = b
+	r.cfg.ColdBound = b
 }
 
 func (r *Relay) coldBound() pace.Bound {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.cfg.Cold
+	return r.cfg.ColdBound
 }
 
 // isCold reports whether an endpoint is cold and limited for that, as far as this box knows.
--- a/coordination/relay/paced_test.go
+++ b/coordination/relay/paced_test.go
@@ -26,7 +26,7 @@
 		{ID: "cold", Service: "s", Stage: directory.StageDecode, ColdFor: time.Minute},
 	}
 	r := New(Config{
-		Log: log.Discard(), Cold: bound, Now: func() time.Time { return now },
+		Log: log.Discard(), ColdBound: bound, Now: func() time.Time { return now },
 		Directory: &staticDirectory{directory.Directory{}.WithList(now, 1, entries)},
 	})
 	return &handler{relay: r, service: table.Service{Name: "s", ColdPace: 1}}
@@ -68,7 +68,7 @@
 func TestSendsToColdEndpoints(t *testing.T) {
 	asked := time.Now()
 	const held = 300 * time.Millisecond
-	grant := schedule.Grant{PacedPrefill: true, PacedDecode: true, Held: held}
+	grant := schedule.Grant{PacedPrefill: true, PacedDecode: true, QueueTime: held}
 	cases := map[string]struct {
 		endpoint string
 		grant    schedule.Grant
@@ -83,7 +83,7 @@
 		"cold endpoint, counted too long ago":        {endpoint: "cold", grant: grant, after: held + pace.SendWithin + 1},
 		"after the prefill":                          {endpoint: "cold", grant: grant, after: held + time.Second, told: pace.SendWithin, decode: true},
 		"too long after the prefill":                 {endpoint: "cold", grant: grant, after: held + time.Second, told: pace.SendWithin + 1},
-		"after a prefill that took too long":         {endpoint: "cold", grant: grant, after: held + pace.OpenFor + 1, told: 1},
+		"after a prefill that took too long":         {endpoint: "cold", grant: grant, after: held + pace.OpenTimeout + 1, told: 1},
 		"warm endpoint that its home considers cold": {endpoint: "warm", grant: grant, after: held + pace.SendWithin + 1},
 	}
 	for name, c := range cases {
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := coldHandler(pace.Bound{}, now.Add(c.after))
 			h.relay.cfg.Notices = notice.New(notice.Config{Log: log.Discard()})
-			h.relay.cfg.Notices.Answered(notice.Answered{Endpoint: "warm", Notice: pace.Notice{Limit: pace.LimitOf(1)}})
+			h.relay.cfg.Notices.Answered(notice.Answer{Endpoint: "warm", Notice: pace.Notice{Limit: pace.LimitOf(1)}})
 			h.counted = countedBy(c.grant, now)
 			if h.mayPrefill("warm") != c.sent || h.mayDecode("warm") != c.sent {
 				t.Errorf("may prefill %v, decode %v, want %v", h.mayPrefill("warm"), h.mayDecode("warm"), c.sent)
@@ -170,7 +170,7 @@
 			Zone: "n1", Homes: &grantingHomes{groupsWithoutHomes: allOne}, Directory: &staticDirectory{d}, Endpoints: endpoints, Log: log.Discard(),
 			Notices: notice.New(notice.Config{Log: log.Discard()}), NextID: func() lifecycle.RequestID { return lifecycle.RequestID{} },
 		})
-		r.cfg.Notices.Answered(notice.Answered{Endpoint: "e-n1", Notice: reported})
+		r.cfg.Notices.Answered(notice.Answer{Endpoint: "e-n1", Notice: reported})
 		r.SetTable(table.Table{
 			Generation: 1, Services: []table.Service{{Name: "s", Kind: table.KindRouted}},
 			Routes: []table.Route{{
--- a/coordination/relay/poison_test.go
+++ b/coordination/relay/poison_test.go
@@ -43,11 +43,11 @@
 // recordingCaller is a caller that keeps the refusal it receives.
 type recordingCaller struct{ refusal Refusal }
 
-func (*recordingCaller) Head(int, []Field, int64) error { return nil }
-func (*recordingCaller) Write([]byte) error             { return nil }
-func (*recordingCaller) End() error                     { return nil }
-func (*recordingCaller) Break()                         {}
-func (c *recordingCaller) Refuse(r Refusal)             { c.refusal = r }
+func (*recordingCaller) Head(int, []HeaderField, int64) error { return nil }
+func (*recordingCaller) Write([]byte) error                   { return nil }
+func (*recordingCaller) End() error                           { return nil }
+func (*recordingCaller) Abort()                               {}
+func (c *recordingCaller) Refuse(r Refusal)                   { c.refusal = r }
 
 // grantingHomes is the home of all groups. It calls onAsk for each ask and grants its plan;
 // without a plan it does not answer.
@@ -60,7 +60,7 @@
 
 func (g *grantingHomes) HomesOf(string) []string { return []string{"home"} }
 
-func (g *grantingHomes) Tell(box, group string, body home.Body) ring.Outcome {
+func (g *grantingHomes) Send(box, group string, body home.Body) ring.Outcome {
 	a, asks := body.(schedule.Ask)
 	if !asks {
 		return ring.Accepted
@@ -69,7 +69,7 @@
 		g.onAsk()
 	}
 	if g.plan != (lifecycle.Plan{}) {
-		g.r.Decide(box, group, schedule.Grant{Ask: a, Plan: g.plan})
+		g.r.HandleDecision(box, group, schedule.Grant{Ask: a, Plan: g.plan})
 	}
 	return ring.Accepted
 }
--- a/coordination/relay/question.go
+++ b/coordination/relay/question.go
@@ -59,7 +59,7 @@
 		select {
 		case <-ctx.Done():
 			h.notifyHome(home.Withdrawn{ID: a.ID})
-			return askOutcome{refused: true, reason: lifecycle.ReasonHopeless}
+			return askOutcome{refused: true, reason: lifecycle.ReasonTargetUnreachable}
 		case d := <-h.decisions:
 			if d.id != a.ID {
 				h.returnGrant(d)
@@ -69,8 +69,8 @@
 			case schedule.Grant:
 				h.setHome(d.from)
 				return askOutcome{grant: dec, askedAt: asked[d.from]}
-			case schedule.Refuse:
-				if dec.Reason == lifecycle.ReasonMoved {
+			case schedule.Refusal:
+				if dec.Reason == lifecycle.ReasonHomeMoved {
 					timer.Reset(homeMovedDelay)
 					continue
 				}
@@ -114,7 +114,7 @@
 // returnGrant withdraws a granted attempt that is no longer wanted.
 func (h *handler) returnGrant(d homeDecision) {
 	if _, granted := d.decision.(schedule.Grant); granted {
-		_ = h.relay.cfg.Homes.Tell(d.from, h.group, home.Withdrawn{ID: d.id})
+		_ = h.relay.cfg.Homes.Send(d.from, h.group, home.Withdrawn{ID: d.id})
 	}
 }
 
@@ -134,8 +134,8 @@
 	if _, again := asked[box]; !again {
 		asked[box] = h.relay.cfg.Now()
 	}
-	a.Waited = h.age + h.relay.cfg.Now().Sub(h.request.Arrived)
-	if h.relay.cfg.Homes.Tell(box, h.group, a) == ring.Full {
+	a.Elapsed = h.age + h.relay.cfg.Now().Sub(h.request.Arrived)
+	if h.relay.cfg.Homes.Send(box, h.group, a) == ring.Full {
 		return queueFullDelay
 	}
 	return timeout
@@ -172,7 +172,7 @@
 		case <-timer.C:
 			return "", false
 		case d := <-h.decisions:
-			if slot, ok := d.decision.(schedule.Slot); ok && d.id == id {
+			if slot, ok := d.decision.(schedule.DecodeAssignment); ok && d.id == id {
 				return slot.Decode, true
 			}
 		}
@@ -198,7 +198,7 @@
 	box := h.home
 	h.mutex.Unlock()
 	if box != "" {
-		_ = h.relay.cfg.Homes.Tell(box, h.group, body)
+		_ = h.relay.cfg.Homes.Send(box, h.group, body)
 	}
 }
 
@@ -232,8 +232,8 @@
 		}
 		return
 	}
-	_ = h.relay.cfg.Homes.Tell(old, group, home.Withdrawn{ID: adopted.Ask.ID})
-	_ = h.relay.cfg.Homes.Tell(boxes[0], group, adopted)
+	_ = h.relay.cfg.Homes.Send(old, group, home.Withdrawn{ID: adopted.Ask.ID})
+	_ = h.relay.cfg.Homes.Send(boxes[0], group, adopted)
 	time.AfterFunc(readoptDelay, func() { h.repeatAdopted(boxes[0], adopted) })
 }
 
@@ -248,6 +248,6 @@
 	now, group := h.adopted, h.group
 	h.mutex.Unlock()
 	if same {
-		_ = h.relay.cfg.Homes.Tell(box, group, now)
+		_ = h.relay.cfg.Homes.Send(box, group, now)
 	}
 }
--- a/coordination/relay/record.go
+++ b/coordination/relay/record.go
@@ -55,14 +55,14 @@
 	if h.relay.cfg.Metrics == nil {
 		return
 	}
-	e := metric.Ended{Service: h.service.Name, Outcome: outcome, Reason: reason, Attempts: int(h.attempt)}
+	e := metric.RequestSummary{Service: h.service.Name, Outcome: outcome, Reason: reason, Attempts: int(h.attempt)}
 	if !h.firstByteAt.IsZero() {
 		e.FirstToken = h.firstByteAt.Sub(h.request.Arrived)
 	}
 	h.relay.cfg.Metrics.RequestEnded(e)
-	h.relay.cfg.Metrics.Sent(h.service.Name, h.sends, h.prefills)
+	h.relay.cfg.Metrics.EndpointRequests(h.service.Name, h.sends, h.prefills)
 	if h.longestGap > 0 {
-		h.relay.cfg.Metrics.Gap(h.service.Name, h.longestGap)
+		h.relay.cfg.Metrics.StreamGap(h.service.Name, h.longestGap)
 	}
 }
 
--- a/coordination/relay/refuse.go
+++ b/coordination/relay/refuse.go
@@ -134,10 +134,10 @@
 	switch {
 	case h.headSent:
 		h.recordEnd("broken", res.reason)
-		h.caller.Break()
+		h.caller.Abort()
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		h.recordEnd("caller_gone", res.reason)
-		h.caller.Break()
+		h.caller.Abort()
 	case h.fallback != nil:
 		h.sendBuffered(h.fallback)
 	case h.runs > 0 && ctx.Err() != nil:
--- a/coordination/relay/rehome_test.go
+++ b/coordination/relay/rehome_test.go
@@ -31,7 +31,7 @@
 	return []string{group + string(rune('0'+m.turn%10))}
 }
 
-func (m *movingHomes) Tell(_, group string, body home.Body) ring.Outcome {
+func (m *movingHomes) Send(_, group string, body home.Body) ring.Outcome {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if _, ok := body.(home.Withdrawn); ok {
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -37,35 +37,35 @@
 type Homes interface {
 	PlacesOf(service string) []group.Place
 	HomesOf(group string) []string
-	Tell(box, group string, body home.Body) ring.Outcome
+	Send(box, group string, body home.Body) ring.Outcome
 }
 
 // Directory provides the endpoints that this box knows.
 type Directory interface {
 	Directory() directory.Directory
-	// Left records that another endpoint now has the address of the given one.
-	Left(id string)
+	// MarkReplaced records that another endpoint now has the address of the given one.
+	MarkReplaced(id string)
 }
 
 // Quotas enforces the quotas of accounts across all boxes.
 type Quotas interface {
 	Admit(ctx context.Context, u quota.Use) quota.Verdict
-	// GiveBack returns the cost of a request that reached no endpoint.
-	GiveBack(account string, cost float64)
+	// Refund returns the cost of a request that reached no endpoint.
+	Refund(account string, cost float64)
 }
 
 // Metrics records metrics of requests.
 type Metrics interface {
-	RequestEnded(e metric.Ended)
-	// Sent counts how often a request arrived at endpoints: for an answer, and for a prefill
-	// only.
-	Sent(service string, answers, prefills int)
-	// Gap records the longest pause between two pieces of a stream.
-	Gap(service string, longest time.Duration)
+	RequestEnded(e metric.RequestSummary)
+	// EndpointRequests counts how often a request arrived at endpoints: for an answer, and for a
+	// prefill only.
+	EndpointRequests(service string, answers, prefills int)
+	// StreamGap records the longest pause between two pieces of a stream.
+	StreamGap(service string, longest time.Duration)
 	// BudgetDenied counts a retry that the retry budget did not allow.
 	BudgetDenied(service string)
-	// BrokeOff counts an exchange with an endpoint that was interrupted, by cause.
-	BrokeOff(service, how string)
+	// ExchangeBroken counts an exchange with an endpoint that was interrupted, by cause.
+	ExchangeBroken(service, how string)
 	// QuotaDecided counts a decision on an account's quota.
 	QuotaDecided(account, outcome string)
 }
@@ -87,8 +87,8 @@
 	Quarantine *quarantine.Keeper
 	// Ready reports whether the box knows where requests may go; nil means always.
 	Ready func() bool
-	// Current reports whether the table in force is known to be the newest.
-	Current func() bool
+	// TableCurrent reports whether the table in force is known to be the newest.
+	TableCurrent func() bool
 	// ParsePrefill parses an engine's answer to a prefill and returns the handle of the result
 	// and the number of tokens.
 	ParsePrefill func(body []byte) (handle string, tokens int, err error)
@@ -100,8 +100,8 @@
 	Metrics Metrics
 	// Budget limits the retries of each service across all boxes.
 	Budget retry.Config
-	// Cold limits the requests sent to cold endpoints.
-	Cold pace.Bound
+	// ColdBound limits the requests sent to cold endpoints.
+	ColdBound pace.Bound
 	// Notices stores the notices that endpoints attach to their answers.
 	Notices *notice.Keeper
 	// Held limits the bytes of answers that are kept in memory; nil means no limit.
@@ -187,8 +187,8 @@
 	return ok
 }
 
-// Decide delivers a home's decision and reports whether the request belongs to this relay.
-func (r *Relay) Decide(from, _ string, decision schedule.Decision) bool {
+// HandleDecision delivers a home's decision and reports whether the request belongs to this relay.
+func (r *Relay) HandleDecision(from, _ string, decision schedule.Decision) bool {
 	id := schedule.Asked(decision).ID
 	r.mutex.Lock()
 	h, ok := r.runs[id.Request]
--- a/coordination/relay/run.go
+++ b/coordination/relay/run.go
@@ -39,7 +39,7 @@
 	minRemaining = 30 * time.Millisecond
 )
 
-// handler handles one request. One goroutine runs serve; rehome and Relay.Decide are called
+// handler handles one request. One goroutine runs serve; rehome and Relay.HandleDecision are called
 // from others.
 type handler struct {
 	relay   *Relay
@@ -282,7 +282,7 @@
 			kind:       refused,
 			reason:     string(outcome.reason),
 			retryAfter: outcome.retryAfter,
-			noCapacity: outcome.reason == lifecycle.ReasonHopeless && ctx.Err() == nil,
+			noCapacity: outcome.reason == lifecycle.ReasonTargetUnreachable && ctx.Err() == nil,
 			noEngine:   outcome.reason == lifecycle.ReasonNoEngine,
 		}
 	}
@@ -305,10 +305,10 @@
 	if !isWithheld(res.reason) {
 		report.Failed = res.endpoint
 	}
-	report.Unreached = res.unreached
+	report.Unreachable = res.unreached
 	report.Answered = res.answered
 	report.Full = res.full
-	report.Running = res.kind == failed && res.endpoint != ""
+	report.MayBeRunning = res.kind == failed && res.endpoint != ""
 	report.Steps, report.StepTime = h.steps, h.stepTime
 	h.endAttempt(report)
 	if res.kind != delivered {
@@ -349,9 +349,9 @@
 	a.Avoid = append(a.Avoid, h.forbiddenEndpoints()...)
 	a.Patience = h.maxRetryAfter()
 	a.Late = h.late
-	a.GiveUp = h.callerPatience()
+	a.RemainingPatience = h.callerPatience()
 	a.Spill = len(h.refusals) > 0 && !h.lastAsk
-	a.Travel = h.roundTrip(h.group)
+	a.RegionRoundTrip = h.roundTrip(h.group)
 	if h.service.Engine == nil {
 		a.Deadline = h.deadline.Sub(h.request.Arrived)
 		if target := h.route.Target(); target > 0 {
@@ -359,8 +359,8 @@
 		}
 		return a
 	}
-	a.Kept = h.reusableEngine()
-	a.Resume = a.Resume || a.Kept != ""
+	a.KeptBy = h.reusableEngine()
+	a.Resume = a.Resume || a.KeptBy != ""
 	a.PromptTokens = h.request.Prompt.Tokens
 	a.OutputTokens = h.request.Prompt.Output
 	if hint := h.request.Prompt.Hint; hint > 0 && (a.OutputTokens == 0 || hint < a.OutputTokens) {
--- a/coordination/relay/silent_test.go
+++ b/coordination/relay/silent_test.go
@@ -25,9 +25,9 @@
 
 func (h *rankedHomes) HomesOf(string) []string { return h.homes }
 
-func (h *rankedHomes) Tell(box, group string, body home.Body) ring.Outcome {
+func (h *rankedHomes) Send(box, group string, body home.Body) ring.Outcome {
 	if a, asked := body.(schedule.Ask); asked && box == h.grants {
-		h.r.Decide(box, group, schedule.Grant{Ask: a, Plan: lifecycle.Plan{Decode: "e-n1"}})
+		h.r.HandleDecision(box, group, schedule.Grant{Ask: a, Plan: lifecycle.Plan{Decode: "e-n1"}})
 	}
 	return ring.Accepted
 }
--- a/coordination/relay/slow.go
+++ b/coordination/relay/slow.go
@@ -72,7 +72,7 @@
 	} else {
 		h.recordEnd("caller_gone", "write")
 	}
-	h.caller.Break()
+	h.caller.Abort()
 	return result{}
 }
 
@@ -80,6 +80,6 @@
 // endpoint is not at fault, and another one would do the same.
 func (h *handler) endStalled() result {
 	h.recordEnd("caller_slow", "endpoint_cut")
-	h.caller.Break()
+	h.caller.Abort()
 	return result{}
 }
--- a/coordination/relay/spill_test.go
+++ b/coordination/relay/spill_test.go
@@ -22,7 +22,7 @@
 
 func (p unansweringGroups) PlacesOf(string) []group.Place             { return p }
 func (unansweringGroups) HomesOf(group string) []string               { return []string{"home of " + group} }
-func (unansweringGroups) Tell(string, string, home.Body) ring.Outcome { return ring.Accepted }
+func (unansweringGroups) Send(string, string, home.Body) ring.Outcome { return ring.Accepted }
 
 func zonePlace(zone, region string) group.Place {
 	return group.Place{Key: "s/" + zone, Zone: zone, Region: region}
@@ -58,7 +58,7 @@
 		out = append(out, h.group)
 		if !h.spillAfter(result{
 			kind:       refused,
-			noCapacity: reason == lifecycle.ReasonHopeless,
+			noCapacity: reason == lifecycle.ReasonTargetUnreachable,
 			noEngine:   reason == lifecycle.ReasonNoEngine,
 			reason:     string(reason),
 		}) {
@@ -68,7 +68,7 @@
 }
 
 func TestSpillByDistance(t *testing.T) {
-	const full, none = lifecycle.ReasonHopeless, lifecycle.ReasonNoEngine
+	const full, none = lifecycle.ReasonTargetUnreachable, lifecycle.ReasonNoEngine
 	cases := map[string]struct {
 		places       unansweringGroups
 		zone, region string
--- a/coordination/relay/types.go
+++ b/coordination/relay/types.go
@@ -13,8 +13,8 @@
 	"runridge.example/runridge/state/pace"
 )
 
-// Field is one HTTP header field.
-type Field struct{ Name, Value string }
+// HeaderField is one HTTP header field.
+type HeaderField struct{ Name, Value string }
 
 // Endpoint is one incarnation of an endpoint of a routed service.
 type Endpoint struct {
@@ -41,7 +41,7 @@
 	Key   account.Digest
 	// Opaque holds the caller's credential headers unchanged. They are forwarded only if no
 	// table of this process ever had accounts, because then they belong to the services.
-	Opaque []Field
+	Opaque []HeaderField
 }
 
 // Request is an opaque request as received from a caller.
@@ -51,7 +51,7 @@
 	// Host, Path and Target come from the request line; Target includes the query.
 	Host, Path, Target string
 	Method             string
-	Header             []Field
+	Header             []HeaderField
 	Credential         Credential
 	Body               []byte
 	// HasBody reports whether the request had a body, even an empty one.
@@ -72,14 +72,14 @@
 	Target    string
 	Host      string
 	RequestID string
-	Header    []Field
+	Header    []HeaderField
 	Body      []byte
 	HasBody   bool
-	// Left is the time that the endpoint may spend on the call; 0 means no limit.
-	Left time.Duration
-	// Ranked reports whether Priority is sent; priority 0 is the most urgent.
-	Ranked   bool
-	Priority int
+	// Remaining is the time that the endpoint may spend on the call; 0 means no limit.
+	Remaining time.Duration
+	// HasPriority reports whether Priority is sent; priority 0 is the most urgent.
+	HasPriority bool
+	Priority    int
 	// Prefill requests only the KV cache of the prompt.
 	Prefill bool
 	// Source is the address from which the engine fetches the KV cache of the prompt.
@@ -95,16 +95,16 @@
 // Answer is an endpoint's answer after its header has been received.
 type Answer struct {
 	Status int
-	Header []Field
+	Header []HeaderField
 	// Length is the length of the body in bytes; -1 if unknown.
 	Length int64
 	Body   io.ReadCloser
 	// Signed reports whether the answer has the header that marks it as written by the
 	// endpoint. Other answers may come from a proxy in between.
 	Signed bool
-	// NotRun reports that the endpoint states it did not run the request, OtherHere that
+	// NotRun reports that the endpoint states it did not run the request, AddressTaken that
 	// another endpoint now has this address.
-	NotRun, OtherHere bool
+	NotRun, AddressTaken bool
 	// Notice is the notice that came with the answer.
 	Notice pace.Notice
 	// Encoded reports whether the body has a content encoding, so that it is not as the
@@ -147,13 +147,13 @@
 // if the caller has disconnected.
 type Caller interface {
 	// Head starts an answer; length is -1 if unknown.
-	Head(status int, header []Field, length int64) error
+	Head(status int, header []HeaderField, length int64) error
 	// Write sends data to the caller without buffering.
 	Write(p []byte) error
 	// End completes an answer.
 	End() error
-	// Break aborts an answer in a way that the caller cannot mistake for completion.
-	Break()
+	// Abort aborts an answer in a way that the caller cannot mistake for completion.
+	Abort()
 	// Refuse answers on behalf of the box itself.
 	Refuse(r Refusal)
 }
--- a/coordination/relay/where.go
+++ b/coordination/relay/where.go
@@ -58,7 +58,7 @@
 	case !w.Usable():
 		return reasonLeft, false
 	}
-	reason = h.relay.cfg.Notices.Standing(w.ID).Reason()
+	reason = h.relay.cfg.Notices.Availability(w.ID).Reason()
 	return reason, reason == ""
 }
 
@@ -127,7 +127,7 @@
 // endpoint that could serve it rests.
 func (h *handler) remainingRest() time.Duration {
 	known := h.relay.cfg.Directory.Directory()
-	return h.relay.cfg.Notices.LeastRest(func(endpoint string) bool {
+	return h.relay.cfg.Notices.ShortestRest(func(endpoint string) bool {
 		w, found := known.Status(endpoint)
 		return found && w.Service == h.service.Name && w.Stage != directory.StagePrefill && w.Usable() && h.zoneAllowed(w.Zone)
 	})
--- a/coordination/relay/where_test.go
+++ b/coordination/relay/where_test.go
@@ -27,14 +27,14 @@
 type staticDirectory struct{ d directory.Directory }
 
 func (s *staticDirectory) Directory() directory.Directory { return s.d }
-func (*staticDirectory) Left(string)                      {}
+func (*staticDirectory) MarkReplaced(string)              {}
 
 // groupsWithoutHomes lists groups for which there is no box to ask.
 type groupsWithoutHomes []group.Place
 
 func (p groupsWithoutHomes) PlacesOf(string) []group.Place             { return p }
 func (groupsWithoutHomes) HomesOf(string) []string                     { return nil }
-func (groupsWithoutHomes) Tell(string, string, home.Body) ring.Outcome { return ring.Accepted }
+func (groupsWithoutHomes) Send(string, string, home.Body) ring.Outcome { return ring.Accepted }
 
 // twoRegions has the zones n1 and n2 in region north and s1 in south; zone x has no region.
 var twoRegions = locality.New(map[string]string{"n1": "north", "n2": "north", "s1": "south"})
--- a/coordination/stages/lease.go
+++ b/coordination/stages/lease.go
@@ -74,10 +74,10 @@
 // the platform's store came back from an older copy and may have lost another holder's
 // lease. Zero means at once.
 func (k *Keeper) afterReturn(now time.Time, revision uint64) time.Time {
-	if k.cfg.LatestReturn == nil {
+	if k.cfg.LatestRestore == nil {
 		return time.Time{}
 	}
-	era, at := k.cfg.LatestReturn()
+	era, at := k.cfg.LatestRestore()
 	switch {
 	case position.Era(revision) > era:
 		return now.Add(k.takeOverWait())
--- a/coordination/stages/stages.go
+++ b/coordination/stages/stages.go
@@ -88,11 +88,11 @@
 	Find func(id string) (Engine, bool)
 	// Known reports whether an engine is known.
 	Known func(id string) bool
-	// LatestReturn returns the era of the platform's store after it last came back from an
+	// LatestRestore returns the era of the platform's store after it last came back from an
 	// older copy, and when this box learned of that; zero means never. Nil means that the
 	// store never does.
-	LatestReturn func() (era uint64, at time.Time)
-	Rules        Rules
+	LatestRestore func() (era uint64, at time.Time)
+	Rules         Rules
 	// Metrics, if set, counts orders.
 	Metrics Metrics
 	Log     log.Logger
--- a/coordination/stages/stages_test.go
+++ b/coordination/stages/stages_test.go
@@ -129,8 +129,8 @@
 // lostTime is the age of the copy.
 const lostTime = 4 * time.Second
 
-// latestReturn returns what all boxes know of the store's last return from an older copy.
-func (w *simulation) latestReturn() (era uint64, at time.Time) {
+// latestRestore returns what all boxes know of the store's last return from an older copy.
+func (w *simulation) latestRestore() (era uint64, at time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.returned.IsZero() {
@@ -218,7 +218,7 @@
 		Find:  func(id string) (Engine, bool) { return Engine{ID: id}, true },
 		Known: func(string) bool { return true },
 
-		LatestReturn: w.latestReturn,
+		LatestRestore: w.latestRestore,
 	})
 }
 
--- a/coordination/watch/watch.go
+++ b/coordination/watch/watch.go
@@ -37,12 +37,12 @@
 
 // Checker asks a box whether its attempts still run.
 type Checker interface {
-	Check(box, group, engine string, ids []lifecycle.AttemptID)
+	CheckAttempts(box, group, engine string, ids []lifecycle.AttemptID)
 }
 
 // Owners returns what is known of the box that owns a hold's request.
 type Owners interface {
-	Of(ctx context.Context, id lifecycle.RequestID) owner.Verdict
+	Check(ctx context.Context, id lifecycle.RequestID) owner.Verdict
 }
 
 // Releaser frees holds.
@@ -57,17 +57,17 @@
 	Checker  Checker
 	Owners   Owners
 	Releaser Releaser
-	// Every is the interval between polls of an engine; 0 is defaultEvery.
-	Every time.Duration
-	// Young is the age below which a hold isn't checked; 0 is defaultYoung.
-	Young time.Duration
-	Log   log.Logger
+	// PollInterval is the interval between polls of an engine; 0 is defaultPollInterval.
+	PollInterval time.Duration
+	// MinHoldAge is the age below which a hold isn't checked; 0 is defaultMinHoldAge.
+	MinHoldAge time.Duration
+	Log        log.Logger
 }
 
 const (
-	defaultEvery     = time.Second
-	defaultYoung     = 1500 * time.Millisecond
-	maxParallelPolls = 16
+	defaultPollInterval = time.Second
+	defaultMinHoldAge   = 1500 * time.Millisecond
+	maxParallelPolls    = 16
 )
 
 // watchedEngine is an engine under watch.
@@ -91,11 +91,11 @@
 
 // New returns a Watch; Run starts it.
 func New(cfg Config) *Watch {
-	if cfg.Every <= 0 {
-		cfg.Every = defaultEvery
+	if cfg.PollInterval <= 0 {
+		cfg.PollInterval = defaultPollInterval
 	}
-	if cfg.Young <= 0 {
-		cfg.Young = defaultYoung
+	if cfg.MinHoldAge <= 0 {
+		cfg.MinHoldAge = defaultMinHoldAge
 	}
 	return &Watch{
 		cfg:     cfg,
@@ -130,7 +130,7 @@
 
 // Run polls the engines until the context ends.
 func (w *Watch) Run(ctx context.Context) error {
-	tick := time.NewTicker(w.cfg.Every)
+	tick := time.NewTicker(w.cfg.PollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -157,7 +157,7 @@
 	polls.SetLimit(maxParallelPolls)
 	for _, e := range all {
 		polls.Go(func() error {
-			call, cancel := context.WithTimeout(ctx, w.cfg.Every)
+			call, cancel := context.WithTimeout(ctx, w.cfg.PollInterval)
 			defer cancel()
 			w.pollEngine(call, e)
 			return nil
@@ -171,7 +171,7 @@
 func (w *Watch) pollEngine(ctx context.Context, e *watchedEngine) {
 	name := e.endpoint.Name
 	if load, err := w.cfg.Engine.Load(ctx, e.endpoint); err == nil {
-		w.offer(e.group, schedule.Load{Engine: name, Held: load.Held, KVTokens: load.KVTokens})
+		w.offer(e.group, schedule.LoadReport{Engine: name, Held: load.Held, KVTokens: load.KVTokens})
 	}
 	w.readEvents(ctx, e)
 	if holds, err := w.cfg.Engine.Holds(ctx, e.endpoint); err == nil {
@@ -207,20 +207,20 @@
 	attempts := make(map[string][]lifecycle.AttemptID)
 	for _, h := range holds {
 		id, err := lifecycle.ParseAttemptID(h.Attempt)
-		if err != nil || time.Duration(h.AgeMS)*time.Millisecond < w.cfg.Young {
+		if err != nil || time.Duration(h.AgeMS)*time.Millisecond < w.cfg.MinHoldAge {
 			// A hold that isn't named by an attempt ID belongs to somebody else.
 			continue
 		}
-		switch w.cfg.Owners.Of(ctx, id.Request) {
-		case owner.Gone:
+		switch w.cfg.Owners.Check(ctx, id.Request) {
+		case owner.Ended:
 			w.release(e, h.Attempt)
-		case owner.There:
+		case owner.Reachable:
 			attempts[id.Request.Box] = append(attempts[id.Request.Box], id)
-		case owner.Silent:
+		case owner.Unreachable:
 		}
 	}
 	for box, ids := range attempts {
-		w.cfg.Checker.Check(box, e.group, e.endpoint.Name, ids)
+		w.cfg.Checker.CheckAttempts(box, e.group, e.endpoint.Name, ids)
 	}
 }
 
--- a/fakes/engine/http.go
+++ b/fakes/engine/http.go
@@ -56,8 +56,8 @@
 // Leave makes the engine announce in its answers that it leaves.
 func (e *Engine) Leave() { e.leaving.Store(true) }
 
-// Tire makes the engine reject all requests and ask for a rest in each answer.
-func (e *Engine) Tire(rest time.Duration) { e.rest.Store(int64(rest)) }
+// RejectWithRest makes the engine reject all requests and ask for a rest in each answer.
+func (e *Engine) RejectWithRest(rest time.Duration) { e.rest.Store(int64(rest)) }
 
 // Arrivals returns the log of the requests for work that reached the engine.
 func (e *Engine) Arrivals() *arrival.Log { return &e.arrivals }
--- a/fakes/plain/plain.go
+++ b/fakes/plain/plain.go
@@ -84,8 +84,8 @@
 	s.leaving = true
 }
 
-// Tire makes the service reject all calls and ask for a rest in each answer.
-func (s *Server) Tire(rest time.Duration) {
+// RejectWithRest makes the service reject all calls and ask for a rest in each answer.
+func (s *Server) RejectWithRest(rest time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.rest = rest
--- a/modules/metric/metric.go
+++ b/modules/metric/metric.go
@@ -71,8 +71,8 @@
 	platformDuration metric.Float64Histogram
 }
 
-// Ended describes a request that ended, for counting.
-type Ended struct {
+// RequestSummary describes a request that ended, for counting.
+type RequestSummary struct {
 	Service string
 	// Outcome is finished, cancelled, not_run, unknown or failed; Reason is the cause, from
 	// a fixed set.
@@ -161,17 +161,17 @@
 	return err
 }
 
-// Sent counts a request's exchanges with endpoints: those for an answer and those for a
+// EndpointRequests counts a request's exchanges with endpoints: those for an answer and those for a
 // prefill only.
-func (m *Metrics) Sent(service string, answers, prefills int) {
+func (m *Metrics) EndpointRequests(service string, answers, prefills int) {
 	ctx := context.Background()
 	name := attribute.String("service", service)
 	m.sends.Add(ctx, int64(answers), metric.WithAttributes(name, attribute.String("purpose", "answer")))
 	m.sends.Add(ctx, int64(prefills), metric.WithAttributes(name, attribute.String("purpose", "prefill")))
 }
 
-// Gap records the longest pause in a stream.
-func (m *Metrics) Gap(service string, longest time.Duration) {
+// StreamGap records the longest pause in a stream.
+func (m *Metrics) StreamGap(service string, longest time.Duration) {
 	m.eventGap.Record(context.Background(), longest.Seconds(), metric.WithAttributes(attribute.String("service", service)))
 }
 
@@ -180,9 +180,9 @@
 	m.retriesDenied.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service)))
 }
 
-// BrokeOff counts an exchange with an endpoint that was interrupted; how is the kind of
+// ExchangeBroken counts an exchange with an endpoint that was interrupted; how is the kind of
 // interruption.
-func (m *Metrics) BrokeOff(service, how string) {
+func (m *Metrics) ExchangeBroken(service, how string) {
 	m.brokenExchanges.Add(context.Background(), 1, metric.WithAttributes(attribute.String("service", service), attribute.String("how", how)))
 }
 
@@ -278,7 +278,7 @@
 
 // RequestEnded counts a request that ended. It has no account label: there are too many
 // accounts.
-func (m *Metrics) RequestEnded(e Ended) {
+func (m *Metrics) RequestEnded(e RequestSummary) {
 	ctx := context.Background()
 	service := attribute.String("service", e.Service)
 	m.requests.Add(ctx, 1, metric.WithAttributes(service, attribute.String("outcome", e.Outcome), attribute.String("reason", e.Reason)))
--- a/protocol/boxwire/boxwire.go
+++ b/protocol/boxwire/boxwire.go
@@ -80,11 +80,11 @@
 	return maxSmallFrame
 }
 
-// ErrFrame is returned for a malformed or oversized frame, and ErrNotRead for a message of a
-// kind that the receiver's build does not support.
+// ErrFrame is returned for a malformed or oversized frame, and ErrUnsupportedKind for a message
+// of a kind that the receiver's build does not support.
 var (
-	ErrFrame   = errors.New("bad frame")
-	ErrNotRead = errors.New("message is not read there")
+	ErrFrame           = errors.New("bad frame")
+	ErrUnsupportedKind = errors.New("message is not read there")
 )
 
 // Message is implemented by pointers to all message types of this package.
@@ -250,10 +250,11 @@
 }
 
 // Append appends the frame of a message to buf, encoded for a receiver of version v. It
-// returns ErrNotRead if that version does not read the kind, and ErrFrame if the body is too large.
+// returns ErrUnsupportedKind if that version does not read the kind, and ErrFrame if the body is
+// too large.
 func Append(buf []byte, m Message, v Version) ([]byte, error) {
 	if !v.Reads(m.Kind()) {
-		return buf, fmt.Errorf("%w: kind %s, version %d", ErrNotRead, m.Kind(), v)
+		return buf, fmt.Errorf("%w: kind %s, version %d", ErrUnsupportedKind, m.Kind(), v)
 	}
 	if p, ok := m.(compressible); ok && v == VersionNone {
 		var err error
