--- a/protocol/boxwire/boxwire_test.go
+++ b/protocol/boxwire/boxwire_test.go
@@ -35,9 +35,9 @@
 	return []Message{
 		&Hello{Box: "box-1", Incarnation: 5, Proof: []byte{1, 2}},
 		FromAsk("lm-porta", schedule.Ask{ID: id, Box: owner.Box, Account: "mesa-sur", PromptTokens: 100, Marks: []uint64{9}, MarkTokens: []int{256}}),
-		FromDecision("lm-porta", schedule.Grant{Ask: schedule.Ask{ID: id}, Plan: lifecycle.Plan{Prefill: "lm-porta-prefill-1"}, Move: time.Second, PacedPrefill: true, Held: 20 * time.Millisecond}),
-		FromDecision("lm-porta", schedule.Refuse{Ask: schedule.Ask{ID: id}, Reason: lifecycle.ReasonHopeless, RetryAfter: time.Second}),
-		FromDecision("lm-porta", schedule.Slot{Ask: schedule.Ask{ID: id}, Decode: "lm-porta-decode-1"}),
+		FromDecision("lm-porta", schedule.Grant{Ask: schedule.Ask{ID: id}, Plan: lifecycle.Plan{Prefill: "lm-porta-prefill-1"}, Move: time.Second, PacedPrefill: true, QueueTime: 20 * time.Millisecond}),
+		FromDecision("lm-porta", schedule.Refusal{Ask: schedule.Ask{ID: id}, Reason: lifecycle.ReasonTargetUnreachable, RetryAfter: time.Second}),
+		FromDecision("lm-porta", schedule.DecodeAssignment{Ask: schedule.Ask{ID: id}, Decode: "lm-porta-decode-1"}),
 		FromDecision("lm-porta", schedule.Queued{Ask: schedule.Ask{ID: id}}),
 		FromReport("lm-porta", schedule.Report{ID: id, Finished: true, Steps: 3, StepTime: time.Second}),
 		FromAdopted("lm-porta", schedule.Adopted{Ask: schedule.Ask{ID: id, Box: owner.Box}, Prefilled: true}),
@@ -65,7 +65,7 @@
 func TestMessagesComeBackAsTheyWere(t *testing.T) {
 	for _, m := range samples() {
 		convey.Convey(reflect.TypeOf(m).String(), t, func() {
-			frame, err := Append([]byte("before"), m, VersionNow)
+			frame, err := Append([]byte("before"), m, VersionCurrent)
 			convey.So(err, convey.ShouldBeNil)
 			back, err := Read(bufio.NewReader(bytes.NewReader(frame[len("before"):])))
 			convey.So(err, convey.ShouldBeNil)
@@ -95,10 +95,10 @@
 		names := NewNames(tableNames(table))
 		want := schedule.Ask{
 			ID: attempt(), Box: owner.Box, Account: "mesa-sur", PromptTokens: 900, OutputTokens: 64,
-			Marks: []uint64{11, 12}, MarkTokens: []int{256, 512}, Waited: 3 * time.Millisecond,
-			Avoid: []string{"lm-porta-decode-2"}, Kept: "lm-porta-prefill-1", Resume: true,
+			Marks: []uint64{11, 12}, MarkTokens: []int{256, 512}, Elapsed: 3 * time.Millisecond,
+			Avoid: []string{"lm-porta-decode-2"}, KeptBy: "lm-porta-prefill-1", Resume: true,
 			Patience: 4 * time.Second, Spill: true,
-			Barred: []string{"lm-porta-decode-1", "lm-porta-prefill-2"}, Leaving: []string{"lm-porta-decode-1"},
+			Excluded: []string{"lm-porta-decode-1", "lm-porta-prefill-2"}, Leaving: []string{"lm-porta-decode-1"},
 		}
 		convey.Convey("comes back whole", func() {
 			got, known := FromAsk("lm-porta", want).Ask(names, owner)
@@ -111,7 +111,7 @@
 			convey.So(got.ID, convey.ShouldNotResemble, want.ID)
 		})
 		convey.Convey("that names an engine which the table lacks is not known", func() {
-			want.Kept = "no-such-engine"
+			want.KeptBy = "no-such-engine"
 			_, known := FromAsk("lm-porta", want).Ask(names, owner)
 			convey.So(known, convey.ShouldBeFalse)
 		})
@@ -122,7 +122,7 @@
 // messages that were read can be encoded again.
 func FuzzRead(f *testing.F) {
 	for _, m := range samples() {
-		frame, err := Append(nil, m, VersionNow)
+		frame, err := Append(nil, m, VersionCurrent)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -134,7 +134,7 @@
 		if err != nil {
 			return
 		}
-		if _, err := Append(nil, m, VersionNow); err != nil && !errors.Is(err, ErrFrame) {
+		if _, err := Append(nil, m, VersionCurrent); err != nil && !errors.Is(err, ErrFrame) {
 			t.Fatal(err)
 		}
 	})
--- a/protocol/boxwire/grant.go
+++ b/protocol/boxwire/grant.go
@@ -43,7 +43,7 @@
 
 		PacedPrefill: d.PacedPrefill,
 		PacedDecode:  d.PacedDecode,
-		HeldMS:       d.Held.Milliseconds(),
+		HeldMS:       d.QueueTime.Milliseconds(),
 		Limits:       fromLimits(d.Limits),
 	}
 }
@@ -60,7 +60,7 @@
 
 		PacedPrefill: g.PacedPrefill,
 		PacedDecode:  g.PacedDecode,
-		Held:         time.Duration(g.HeldMS) * time.Millisecond,
+		QueueTime:    time.Duration(g.HeldMS) * time.Millisecond,
 		Limits:       limitsOf(n, g.Limits),
 	}, prefillKnown && decodeKnown
 }
--- a/protocol/boxwire/group.go
+++ b/protocol/boxwire/group.go
@@ -179,18 +179,18 @@
 		Priority:     a.Priority,
 		PromptTokens: a.PromptTokens,
 		OutputTokens: a.OutputTokens,
-		WaitedMS:     a.Waited.Milliseconds(),
+		WaitedMS:     a.Elapsed.Milliseconds(),
 		DeadlineMS:   a.Deadline.Milliseconds(),
 		Resume:       a.Resume,
 		Avoid:        refsOf(a.Avoid),
-		Kept:         RefOf(a.Kept),
+		Kept:         RefOf(a.KeptBy),
 		PatienceMS:   a.Patience.Milliseconds(),
 		Spill:        a.Spill,
 		Late:         a.Late,
-		GiveUpMS:     a.GiveUp.Milliseconds(),
-		TravelMS:     a.Travel.Milliseconds(),
+		GiveUpMS:     a.RemainingPatience.Milliseconds(),
+		TravelMS:     a.RegionRoundTrip.Milliseconds(),
 		Limits:       fromLimits(a.Limits),
-		Barred:       refsOf(a.Barred),
+		Barred:       refsOf(a.Excluded),
 		Leaving:      refsOf(a.Leaving),
 	}
 	for _, hash := range a.Marks {
@@ -213,25 +213,25 @@
 		account = fmt.Sprintf("#%08x", uint32(a.Account))
 	}
 	out := schedule.Ask{
-		ID:           a.ID(o),
-		Box:          o.Box,
-		Account:      account,
-		Priority:     a.Priority,
-		PromptTokens: a.PromptTokens,
-		OutputTokens: a.OutputTokens,
-		Waited:       time.Duration(a.WaitedMS) * time.Millisecond,
-		Deadline:     time.Duration(a.DeadlineMS) * time.Millisecond,
-		Resume:       a.Resume,
-		Avoid:        avoid,
-		Kept:         kept,
-		Patience:     time.Duration(a.PatienceMS) * time.Millisecond,
-		Spill:        a.Spill,
-		Late:         a.Late,
-		GiveUp:       time.Duration(a.GiveUpMS) * time.Millisecond,
-		Travel:       time.Duration(a.TravelMS) * time.Millisecond,
-		Limits:       limitsOf(n, a.Limits),
-		Barred:       n.lookUpKnown(a.Barred),
-		Leaving:      n.lookUpKnown(a.Leaving),
+		ID:                a.ID(o),
+		Box:               o.Box,
+		Account:           account,
+		Priority:          a.Priority,
+		PromptTokens:      a.PromptTokens,
+		OutputTokens:      a.OutputTokens,
+		Elapsed:           time.Duration(a.WaitedMS) * time.Millisecond,
+		Deadline:          time.Duration(a.DeadlineMS) * time.Millisecond,
+		Resume:            a.Resume,
+		Avoid:             avoid,
+		KeptBy:            kept,
+		Patience:          time.Duration(a.PatienceMS) * time.Millisecond,
+		Spill:             a.Spill,
+		Late:              a.Late,
+		RemainingPatience: time.Duration(a.GiveUpMS) * time.Millisecond,
+		RegionRoundTrip:   time.Duration(a.TravelMS) * time.Millisecond,
+		Limits:            limitsOf(n, a.Limits),
+		Excluded:          n.lookUpKnown(a.Barred),
+		Leaving:           n.lookUpKnown(a.Leaving),
 	}
 	for i, hash := range a.Marks {
 		out.Marks = append(out.Marks, uint64(hash))
@@ -248,13 +248,13 @@
 	switch d := d.(type) {
 	case schedule.Grant:
 		return fromGrant(group, d)
-	case schedule.Refuse:
+	case schedule.Refusal:
 		return &Refuse{
 			About:        NewAbout(group, d.Ask.ID),
 			Reason:       string(d.Reason),
 			RetryAfterMS: int(d.RetryAfter.Milliseconds()),
 		}
-	case schedule.Slot:
+	case schedule.DecodeAssignment:
 		return &Slot{
 			About: NewAbout(group, d.Ask.ID), Decode: RefOf(d.Decode), MoveMS: d.Move.Milliseconds(),
 			Paced: d.Paced, Limits: fromLimits(d.Limits),
@@ -268,7 +268,7 @@
 
 // Decision converts the message back; the owner is this box. The result is always true.
 func (r *Refuse) Decision(_ *Names, o Owner) (schedule.Decision, bool) {
-	return schedule.Refuse{
+	return schedule.Refusal{
 		Ask:        schedule.Ask{ID: r.ID(o)},
 		Reason:     lifecycle.Reason(r.Reason),
 		RetryAfter: time.Duration(r.RetryAfterMS) * time.Millisecond,
@@ -279,7 +279,7 @@
 // is not in this box's table.
 func (s *Slot) Decision(n *Names, o Owner) (schedule.Decision, bool) {
 	decode, known := n.Name(s.Decode)
-	return schedule.Slot{
+	return schedule.DecodeAssignment{
 		Ask:    schedule.Ask{ID: s.ID(o)},
 		Decode: decode,
 		Move:   time.Duration(s.MoveMS) * time.Millisecond,
@@ -302,8 +302,8 @@
 // GroupOf returns the group that the decision is about.
 func (q *Queued) GroupOf() Ref { return q.Group }
 
-// Decided is a message that carries a decision.
-type Decided interface {
+// DecisionMessage is a message that carries a decision.
+type DecisionMessage interface {
 	Message
 	GroupOf() Ref
 	Decision(n *Names, o Owner) (schedule.Decision, bool)
@@ -318,8 +318,8 @@
 		Steps:      r.Steps,
 		StepTimeMS: r.StepTime.Milliseconds(),
 		MoveTimeMS: r.MoveTime.Milliseconds(),
-		Unreached:  r.Unreached,
-		Running:    r.Running,
+		Unreached:  r.Unreachable,
+		Running:    r.MayBeRunning,
 		Full:       r.Full,
 		Answered:   r.Answered,
 	}
@@ -330,16 +330,16 @@
 	// An engine that is not in this box's table can't be ejected here, so its name is dropped.
 	failed, _ := n.Name(d.Failed)
 	return schedule.Report{
-		ID:        d.ID(o),
-		Finished:  d.Finished,
-		Failed:    failed,
-		Steps:     d.Steps,
-		StepTime:  time.Duration(d.StepTimeMS) * time.Millisecond,
-		Unreached: d.Unreached,
-		Running:   d.Running,
-		Full:      d.Full,
-		Answered:  d.Answered,
-		MoveTime:  time.Duration(d.MoveTimeMS) * time.Millisecond,
+		ID:           d.ID(o),
+		Finished:     d.Finished,
+		Failed:       failed,
+		Steps:        d.Steps,
+		StepTime:     time.Duration(d.StepTimeMS) * time.Millisecond,
+		Unreachable:  d.Unreached,
+		MayBeRunning: d.Running,
+		Full:         d.Full,
+		Answered:     d.Answered,
+		MoveTime:     time.Duration(d.MoveTimeMS) * time.Millisecond,
 	}
 }
 
--- a/protocol/boxwire/limit.go
+++ b/protocol/boxwire/limit.go
@@ -34,9 +34,9 @@
 	return &Limits{Group: RefOf(group), Limits: fromLimits(limits)}
 }
 
-// Of converts the message back. It leaves out engines that are not in this box's table, and
-// invalid limits.
-func (l *Limits) Of(n *Names) []schedule.EngineLimit { return limitsOf(n, l.Limits) }
+// EngineLimits converts the message back. It leaves out engines that are not in this box's
+// table, and invalid limits.
+func (l *Limits) EngineLimits(n *Names) []schedule.EngineLimit { return limitsOf(n, l.Limits) }
 
 func fromLimits(limits []schedule.EngineLimit) []Limit {
 	var out []Limit
--- a/protocol/boxwire/poison_test.go
+++ b/protocol/boxwire/poison_test.go
@@ -42,7 +42,7 @@
 	for range poison.MaxSent {
 		u.Suspects = append(u.Suspects, fullSuspect(now.Add(-poison.Keep/2)))
 	}
-	frame, err := Append(nil, FromSuspects(now, u), VersionNow)
+	frame, err := Append(nil, FromSuspects(now, u), VersionCurrent)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/protocol/boxwire/update_test.go
+++ b/protocol/boxwire/update_test.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			frame, err := Append(nil, m, VersionNow)
+			frame, err := Append(nil, m, VersionCurrent)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -63,7 +63,7 @@
 
 func TestUpdatePacked(t *testing.T) {
 	n := directory.Update{Whole: true, At: 9, Changes: sampleChanges(3000)}
-	plain, err := Append(nil, &Update{Update: n}, VersionNow)
+	plain, err := Append(nil, &Update{Update: n}, VersionCurrent)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/protocol/boxwire/version.go
+++ b/protocol/boxwire/version.go
@@ -12,21 +12,21 @@
 	// and skip those that they don't know, or by position if there are exactly as many as they
 	// know. A message of a kind that they don't know makes them close the connection.
 	VersionNone Version = iota
-	// VersionLoose builds read fields by position, however many there are, and skip messages
+	// VersionLenient builds read fields by position, however many there are, and skip messages
 	// of kinds that they don't know.
-	VersionLoose
+	VersionLenient
 	// VersionLimits builds also read KindLimits, the limits that endpoints state.
 	VersionLimits
 
-	// VersionNow is the version of this build.
-	VersionNow = VersionLimits
+	// VersionCurrent is the version of this build.
+	VersionCurrent = VersionLimits
 )
 
 // minVersions has the first version that reads a kind, where that is not VersionNone.
 var minVersions = map[Kind]Version{
 	// Only some of the builds without a version read these two.
-	KindSuspects:     VersionLoose,
-	KindSuspectsPull: VersionLoose,
+	KindSuspects:     VersionLenient,
+	KindSuspectsPull: VersionLenient,
 	KindLimits:       VersionLimits,
 }
 
--- a/protocol/boxwire/version_test.go
+++ b/protocol/boxwire/version_test.go
@@ -41,11 +41,11 @@
 func messagesWithNewerFields() map[string]Message {
 	all := golden()
 	hello := *all["hello"].(*Hello)
-	hello.Version = VersionNow
+	hello.Version = VersionCurrent
 	m := *all["member"].(*Member)
 	m.Suspects = 11
 	m.Message.Total = 3
-	m.Message.Updates = []member.Box{{Name: "d", Wire: uint16(VersionNow)}}
+	m.Message.Updates = []member.Box{{Name: "d", Wire: uint16(VersionCurrent)}}
 	update := withChanges(all["update"].(*Update), 1)
 	update.Update.Changes[0].Entry.Born = 1_800_000_000_125
 	limits := []Limit{{Engine: 15, Named: true, PerSecond: 2.8, AgeMS: 40}, {Engine: 16}}
@@ -144,11 +144,11 @@
 		if VersionNone.Reads(k) != recorded[k] {
 			t.Errorf("%s: read by builds without a version: %v, by those recorded: %v", k, VersionNone.Reads(k), recorded[k])
 		}
-		if !VersionNow.Reads(k) {
+		if !VersionCurrent.Reads(k) {
 			t.Errorf("%s is not read by this build", k)
 		}
 		_, err := Append(nil, blank(), VersionNone)
-		if sent := !errors.Is(err, ErrNotRead); sent != recorded[k] {
+		if sent := !errors.Is(err, ErrUnsupportedKind); sent != recorded[k] {
 			t.Errorf("%s: sent %v (%v)", k, sent, err)
 		}
 	}
@@ -268,7 +268,7 @@
 		t.Fatal(err)
 	}
 	stream := append(binary.AppendUvarint([]byte{byte(KindAsk)}, uint64(len(body))), body...)
-	next, err := Append(nil, golden()["pull"], VersionNow)
+	next, err := Append(nil, golden()["pull"], VersionCurrent)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -287,7 +287,7 @@
 func TestBytesByName(t *testing.T) {
 	positional, byName := 0, 0
 	for name, m := range golden() {
-		short, err := Append(nil, m, VersionNow)
+		short, err := Append(nil, m, VersionCurrent)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -322,7 +322,7 @@
 	if err != nil || len(packed.Packed) == 0 {
 		t.Fatalf("%d bytes compressed (%v)", len(packed.Packed), err)
 	}
-	for _, v := range []Version{VersionNone, VersionNow} {
+	for _, v := range []Version{VersionNone, VersionCurrent} {
 		frame, err := Append(nil, packed, v)
 		if err != nil {
 			t.Fatalf("version %d: %v", v, err)
--- a/protocol/relayapi/orders.go
+++ b/protocol/relayapi/orders.go
@@ -28,8 +28,8 @@
 	Expected, Taken, Busy string
 }
 
-// Write returns the JSON body of an order.
-func (n OrderNames) Write(o stages.Order) ([]byte, error) {
+// MarshalOrder returns the JSON body of an order.
+func (n OrderNames) MarshalOrder(o stages.Order) ([]byte, error) {
 	stage := n.Decode
 	if o.Prefill {
 		stage = n.Prefill
--- a/state/cover/cover.go
+++ b/state/cover/cover.go
@@ -72,8 +72,8 @@
 	lost time.Time
 	// nextTry is when this box tries to read the platform itself meanwhile.
 	nextTry time.Time
-	// substitute means that this box reads in place of the readers.
-	substitute bool
+	// standIn means that this box reads in place of the readers.
+	standIn bool
 }
 
 // New returns the cover of a box that starts.
@@ -83,10 +83,10 @@
 type Decision struct {
 	// Read means that it reads the platform.
 	Read bool
-	// Tell means that it sends what it reads to the others. A box that reads without Tell only
-	// makes calls that return at once; if that works, it sends updates from then on, before the
-	// next boxes in rank read too.
-	Tell bool
+	// Announce means that it sends what it reads to the others. A box that reads without
+	// Announce only makes calls that return at once; if that works, it sends updates from then
+	// on, before the next boxes in rank read too.
+	Announce bool
 	// Wait is how long a box that does not read may wait before it decides again.
 	Wait time.Duration
 }
@@ -96,8 +96,8 @@
 	if p.Boxes <= 1 && now.Sub(c.started) < startTime {
 		return Decision{Wait: startTime - now.Sub(c.started)}
 	}
-	if p.Reader() || c.substitute {
-		return Decision{Read: true, Tell: true}
+	if p.Reader() || c.standIn {
+		return Decision{Read: true, Announce: true}
 	}
 	if wait := c.due(p).Sub(now); wait > 0 {
 		return Decision{Wait: wait}
@@ -126,13 +126,13 @@
 	return b
 }
 
-// WithWord returns the cover after an update from a box that reads the platform. A substitute
+// WithUpdate returns the cover after an update from a box that reads the platform. A stand-in
 // continues to read unless the other box precedes it in rank.
-func (c Cover) WithWord(now time.Time, own, origin Place) Cover {
-	if c.substitute && (origin.Rank < 0 || origin.Rank > own.Rank) {
+func (c Cover) WithUpdate(now time.Time, own, origin Place) Cover {
+	if c.standIn && (origin.Rank < 0 || origin.Rank > own.Rank) {
 		return c
 	}
-	c.updated, c.lost, c.nextTry, c.substitute = now, time.Time{}, time.Time{}, false
+	c.updated, c.lost, c.nextTry, c.standIn = now, time.Time{}, time.Time{}, false
 	if origin.Reader() {
 		c.reader = now
 	}
@@ -162,10 +162,10 @@
 }
 
 // WithRead returns the cover after this box itself has read the platform. If that worked, a box
-// that is not a reader and has received no update meanwhile becomes a substitute for the
+// that is not a reader and has received no update meanwhile becomes a stand-in for the
 // readers.
 func (c Cover) WithRead(now time.Time, p Place, worked bool, chance float64) Cover {
-	c.substitute = worked && !p.Reader() && (c.updated.IsZero() || now.Sub(c.updated) >= Validity)
+	c.standIn = worked && !p.Reader() && (c.updated.IsZero() || now.Sub(c.updated) >= Validity)
 	c.nextTry = time.Time{}
 	if !worked && c.Lost(now) {
 		c.nextTry = drawTry(now, p, chance)
@@ -173,9 +173,9 @@
 	return c
 }
 
-// Passes reports whether a box forwards an update to the boxes below it. The update of a mere
-// substitute is not needed where a reader's updates arrive: boxes that receive nothing, but can
+// Forwards reports whether a box forwards an update to the boxes below it. The update of a mere
+// stand-in is not needed where a reader's updates arrive: boxes that receive nothing, but can
 // send, would otherwise flood the others.
-func (c Cover) Passes(now time.Time, origin Place) bool {
+func (c Cover) Forwards(now time.Time, origin Place) bool {
 	return origin.Reader() || c.reader.IsZero() || now.Sub(c.reader) >= Validity
 }
--- a/state/cover/cover_test.go
+++ b/state/cover/cover_test.go
@@ -80,7 +80,7 @@
 		if decided := b.cover.Decide(f.now, p); decided.Read {
 			b.reads++
 			b.reading = f.now.Add(step)
-			if decided.Tell {
+			if decided.Announce {
 				b.reading = f.now.Add(wait)
 			}
 		}
@@ -94,7 +94,7 @@
 	if !b.refused {
 		b.uncovered = 0
 	}
-	if !b.cover.Decide(f.now, p).Tell || b.partitioned {
+	if !b.cover.Decide(f.now, p).Announce || b.partitioned {
 		return
 	}
 	for j, other := range f.boxes {
@@ -105,7 +105,7 @@
 			other.cover = other.cover.WithLost(f.now, f.place(j), f.chance.Float64())
 			continue
 		}
-		other.cover = other.cover.WithWord(f.now, f.place(j), p)
+		other.cover = other.cover.WithUpdate(f.now, f.place(j), p)
 		other.uncovered = 0
 	}
 }
@@ -233,21 +233,21 @@
 
 func TestPasses(t *testing.T) {
 	now := time.Unix(1000, 0)
-	updated := New(now).WithWord(now, Place{Rank: 9, Boxes: 10}, Place{Rank: 1, Boxes: 10})
+	updated := New(now).WithUpdate(now, Place{Rank: 9, Boxes: 10}, Place{Rank: 1, Boxes: 10})
 	cases := map[string]struct {
 		cover  Cover
 		after  time.Duration
 		origin Place
 		want   bool
 	}{
-		"an update of a reader":                               {cover: updated, origin: Place{Rank: 0}, want: true},
-		"an update of a substitute while a reader sends":      {cover: updated, origin: Place{Rank: 5}},
-		"an update of a substitute without any reader":        {cover: New(now), origin: Place{Rank: 5}, want: true},
-		"an update of a substitute after the readers stopped": {cover: updated, after: Validity, origin: Place{Rank: 5}, want: true},
+		"an update of a reader":                             {cover: updated, origin: Place{Rank: 0}, want: true},
+		"an update of a stand-in while a reader sends":      {cover: updated, origin: Place{Rank: 5}},
+		"an update of a stand-in without any reader":        {cover: New(now), origin: Place{Rank: 5}, want: true},
+		"an update of a stand-in after the readers stopped": {cover: updated, after: Validity, origin: Place{Rank: 5}, want: true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got := c.cover.Passes(now.Add(c.after), c.origin); got != c.want {
+			if got := c.cover.Forwards(now.Add(c.after), c.origin); got != c.want {
 				t.Errorf("forwards: %v, want %v", got, c.want)
 			}
 		})
--- a/state/dedup/dedup.go
+++ b/state/dedup/dedup.go
@@ -55,8 +55,8 @@
 	Existing
 	// Mismatch means that the key was used for a request with another digest.
 	Mismatch
-	// NotMine means that this box does not hold the key's records, as far as it knows.
-	NotMine
+	// NotHolder means that this box does not hold the key's records, as far as it knows.
+	NotHolder
 	// Full means that the store has no room for another record.
 	Full
 )
@@ -85,7 +85,7 @@
 	records map[string]storedRecord
 	// keysByAge lists the keys in the order in which they were received, for expiry.
 	keysByAge []string
-	// views lists the sets of boxes since the latest call of Distrust, the newest last.
+	// views lists the sets of boxes since the latest call of ResetViews, the newest last.
 	views []view
 }
 
@@ -109,9 +109,9 @@
 	}
 }
 
-// Distrust discards all earlier sets of boxes. It is called when others took this
+// ResetViews discards all earlier sets of boxes. It is called when others took this
 // box for dead or the box was paused: records may have been made without it.
-func (s *Store) Distrust(now time.Time) {
+func (s *Store) ResetViews(now time.Time) {
 	if len(s.views) == 0 {
 		return
 	}
@@ -152,7 +152,7 @@
 func (s *Store) Claim(now time.Time, r Record, replace lifecycle.RequestID) (Status, Record) {
 	s.expire(now)
 	if !slices.Contains(s.Holders(r.Key), s.self) {
-		return NotMine, Record{}
+		return NotHolder, Record{}
 	}
 	old, known := s.records[r.Key]
 	switch {
--- a/state/directory/cold_test.go
+++ b/state/directory/cold_test.go
@@ -99,7 +99,7 @@
 		t.Error("a heartbeat counts as a change of the directory")
 	}
 	// A box that learns of it only now must not extend the cold period.
-	late := Directory{}.WithUpdate(start.Add(time.Second), next.All())
+	late := Directory{}.WithUpdate(start.Add(time.Second), next.Snapshot())
 	if w, _ := late.Status("a"); !w.ColdUntil.Equal(start.Add(5 * time.Second)) {
 		t.Errorf("for a box that joins it is cold until %v after the start", w.ColdUntil.Sub(start))
 	}
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -47,8 +47,8 @@
 	// serving for a while. Since is when this box learned of the latest change.
 	Gone  bool
 	Since time.Time
-	// Left means that another endpoint was found to answer at this one's address.
-	Left bool
+	// Replaced means that another endpoint was found to answer at this one's address.
+	Replaced bool
 	// InGrace means that the platform does not list the endpoint but may list it
 	// again: its entry may have expired while the platform was unavailable.
 	InGrace bool
@@ -64,7 +64,7 @@
 }
 
 // Usable reports whether the endpoint may get new work.
-func (w Status) Usable() bool { return !w.Gone && !w.Draining && !w.Left && !w.ZoneDrained }
+func (w Status) Usable() bool { return !w.Gone && !w.Draining && !w.Replaced && !w.ZoneDrained }
 
 // Directory holds the status of every known endpoint. It is an immutable value.
 type Directory struct {
@@ -247,7 +247,7 @@
 		if !known {
 			old = &Status{}
 		}
-		w := &Status{Entry: c.Entry, Gone: c.Gone, Since: now, Left: old.Left, StartedAt: old.StartedAt}
+		w := &Status{Entry: c.Entry, Gone: c.Gone, Since: now, Replaced: old.Replaced, StartedAt: old.StartedAt}
 		if !known && following {
 			w.StartedAt = now
 		}
@@ -277,20 +277,20 @@
 	return d.with(changed)
 }
 
-// WithLeft returns the directory after another endpoint answered at the address of the
+// WithReplaced returns the directory after another endpoint answered at the address of the
 // one with this id, which proves that this one is no longer there.
-func (d Directory) WithLeft(id string) Directory {
+func (d Directory) WithReplaced(id string) Directory {
 	w, ok := d.Status(id)
-	if !ok || w.Left {
+	if !ok || w.Replaced {
 		return d
 	}
-	w.Left = true
+	w.Replaced = true
 	return d.with(map[string]*Status{id: &w})
 }
 
-// Without returns the directory without the endpoints that have been gone for longer
+// WithoutGone returns the directory without the endpoints that have been gone for longer
 // than keep.
-func (d Directory) Without(now time.Time, keep time.Duration) Directory {
+func (d Directory) WithoutGone(now time.Time, keep time.Duration) Directory {
 	if d.gone == 0 {
 		return d
 	}
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -41,7 +41,7 @@
 		convey.So(again.At(), convey.ShouldEqual, 11)
 	})
 	convey.Convey("An endpoint proved to have left stays out though it is listed again", t, func() {
-		d := Directory{}.WithList(start, 10, []Entry{entry("a", "s", "1")}).WithLeft("a")
+		d := Directory{}.WithList(start, 10, []Entry{entry("a", "s", "1")}).WithReplaced("a")
 		e := entry("a", "s", "1")
 		e.Slots = 5
 		d = d.WithChanges(start, 11, []Change{{Entry: e}})
@@ -74,8 +74,8 @@
 	convey.Convey("Endpoints that are gone are forgotten after a while, the others never", t, func() {
 		d := Directory{}.WithList(start, 10, []Entry{entry("a", "s", "1"), entry("b", "s", "2")})
 		d = d.WithChanges(start, 11, []Change{{Entry: Entry{ID: "b"}, Gone: true}})
-		convey.So(d.Without(start.Add(time.Second), 2*time.Second).Len(), convey.ShouldEqual, 2)
-		convey.So(d.Without(start.Add(3*time.Second), 2*time.Second).Len(), convey.ShouldEqual, 1)
+		convey.So(d.WithoutGone(start.Add(time.Second), 2*time.Second).Len(), convey.ShouldEqual, 2)
+		convey.So(d.WithoutGone(start.Add(3*time.Second), 2*time.Second).Len(), convey.ShouldEqual, 1)
 	})
 }
 
@@ -168,7 +168,7 @@
 				if _, known := d.Status(id); known {
 					left[id] = true
 				}
-				d = d.WithLeft(id)
+				d = d.WithReplaced(id)
 			}
 			for _, id := range ids {
 				e, listed := history[d.At()].present[id]
--- a/state/directory/grace.go
+++ b/state/directory/grace.go
@@ -14,9 +14,9 @@
 	return d
 }
 
-// WithoutGrace returns the directory after the grace period: endpoints whose entries
+// WithGraceEnded returns the directory after the grace period: endpoints whose entries
 // are still missing are gone. It changes nothing before the period ends.
-func (d Directory) WithoutGrace(now time.Time) Directory {
+func (d Directory) WithGraceEnded(now time.Time) Directory {
 	if now.Before(d.graceUntil) {
 		return d
 	}
--- a/state/directory/held.go
+++ b/state/directory/held.go
@@ -5,10 +5,10 @@
 
 import "time"
 
-// WithHeld returns the directory after the platform was restored from an older copy. Until the
-// given time whole lists may contain entries older than those known here, as their endpoints
-// have not written them again yet. Single changes are new writes and always apply.
-func (d Directory) WithHeld(until time.Time) Directory {
+// WithRestoredUntil returns the directory after the platform was restored from an older copy.
+// Until the given time whole lists may contain entries older than those known here, as their
+// endpoints have not written them again yet. Single changes are new writes and always apply.
+func (d Directory) WithRestoredUntil(until time.Time) Directory {
 	d.heldUntil = until
 	return d
 }
--- a/state/directory/held_test.go
+++ b/state/directory/held_test.go
@@ -46,14 +46,14 @@
 			now := time.Unix(1000, 0)
 			d := Directory{}.WithList(now, position.Of(1, 90), []Entry{{ID: "e", Service: "s", Born: 5}})
 			d = d.WithChanges(now, position.Of(1, 91), []Change{c.known})
-			d = d.WithHeld(now.Add(hold)).WithGrace(now.Add(grace))
+			d = d.WithRestoredUntil(now.Add(hold)).WithGrace(now.Add(grace))
 			d = d.WithList(now, position.Of(2, 20), c.listed)
 			if d.At() != position.Of(2, 20) {
 				t.Fatalf("the directory is at %d", d.At())
 			}
 			d = d.WithChanges(now, position.Of(2, 21), c.changes)
 			now = now.Add(c.after)
-			d = d.WithoutGrace(now)
+			d = d.WithGraceEnded(now)
 			if c.again != nil {
 				d = d.WithList(now, position.Of(2, 22), c.again)
 			}
--- a/state/directory/merge.go
+++ b/state/directory/merge.go
@@ -38,7 +38,7 @@
 		}
 		services[i] = withTargets(s, t.Routes)
 		for _, w := range d.Statuses(s.Name) {
-			if w.Gone || w.Left {
+			if w.Gone || w.Replaced {
 				continue
 			}
 			zones[w.Zone] = 1
--- a/state/directory/update.go
+++ b/state/directory/update.go
@@ -42,8 +42,8 @@
 	return d.WithList(now, n.At, list)
 }
 
-// All returns the directory as an update: every endpoint that the platform lists.
-func (d Directory) All() Update {
+// Snapshot returns the directory as an update: every endpoint that the platform lists.
+func (d Directory) Snapshot() Update {
 	n := Update{At: d.at, Whole: true}
 	d.each(func(w *Status) {
 		if !w.Gone && !w.InGrace {
--- a/state/directory/update_test.go
+++ b/state/directory/update_test.go
@@ -90,7 +90,7 @@
 		now := time.Unix(0, 0)
 		d := Directory{}.WithList(now, 4, []Entry{{ID: "a", Service: "s"}, {ID: "b", Service: "s", Draining: true}})
 		d = d.WithChanges(now, 6, []Change{{Entry: Entry{ID: "a"}, Gone: true}})
-		other := Directory{}.WithUpdate(now, d.All())
+		other := Directory{}.WithUpdate(now, d.Snapshot())
 		convey.So(other.At(), convey.ShouldEqual, 6)
 		convey.So(other.Len(), convey.ShouldEqual, 1)
 		w, _ := other.Status("b")
--- a/state/drain/drain.go
+++ b/state/drain/drain.go
@@ -85,8 +85,8 @@
 	return Version{Revision: z.revision, Digest: hash.Sum64()}
 }
 
-// Misses reports whether a box with another version may know something that is not known here.
-func (z Zones) Misses(v Version) bool {
+// MayLack reports whether a box with another version may know something that is not known here.
+func (z Zones) MayLack(v Version) bool {
 	return v.Revision > z.revision || v.Revision > 0 && v.Revision == z.revision && v.Digest != z.Version().Digest
 }
 
@@ -161,10 +161,10 @@
 	return slices.DeleteFunc(slices.Clone(zones), func(z Zone) bool { return z.Name == name })
 }
 
-// AtReturn returns the zones after the list of a platform that was restored from an older copy.
-// Zones known to be drained stay drained. Those on the list are drained too, unless the listed
-// drain is known to have ended.
-func (z Zones) AtReturn(at uint64, list []Zone) Zones {
+// WithRestoredList returns the zones after the list of a platform that was restored from an
+// older copy. Zones known to be drained stay drained. Those on the list are drained too, unless
+// the listed drain is known to have ended.
+func (z Zones) WithRestoredList(at uint64, list []Zone) Zones {
 	if at < z.at {
 		return z
 	}
@@ -224,8 +224,8 @@
 	return z
 }
 
-// Corrects reports whether another box's update is older than the zones and differs from
+// Supersedes reports whether another box's update is older than the zones and differs from
 // them, so that the other box needs this one's list.
-func (z Zones) Corrects(u Update) bool {
+func (z Zones) Supersedes(u Update) bool {
 	return z.at > u.At && !slices.Equal(z.drained, u.Drained)
 }
--- a/state/drain/drain_test.go
+++ b/state/drain/drain_test.go
@@ -40,11 +40,11 @@
 		"an older list is ignored":                      {known.WithList(49, nil), 1, 50, 40},
 		"a drain that is not on the list":               {known.WithList(60, nil), 0, 60, 60},
 		"a drain that ended":                            {known.WithChanges(55, []Change{{Zone: one[0], Ended: true}}), 0, 55, 55},
-		"an older copy lacks the drain":                 {known.AtReturn(position.Of(2, 20), nil), 1, position.Of(2, 20), position.Of(2, 1)},
-		"and it ends after that":                        {known.AtReturn(position.Of(2, 20), nil).WithChanges(position.Of(2, 21), []Change{{Zone: one[0], Ended: true}}), 0, position.Of(2, 21), position.Of(2, 21)},
-		"an older copy has a drain that ended":          {known.WithList(60, nil).AtReturn(position.Of(2, 45), one), 0, position.Of(2, 45), position.Of(2, 1)},
-		"an older copy, and the zone was drained again": {known.WithList(60, nil).AtReturn(position.Of(2, 45), []Zone{{Name: "a", Revision: position.Of(2, 44)}}), 1, position.Of(2, 45), position.Of(2, 45)},
-		"an older copy, and another zone was drained":   {known.AtReturn(position.Of(2, 45), []Zone{{Name: "b", Revision: position.Of(2, 44)}}), 2, position.Of(2, 45), position.Of(2, 45)},
+		"an older copy lacks the drain":                 {known.WithRestoredList(position.Of(2, 20), nil), 1, position.Of(2, 20), position.Of(2, 1)},
+		"and it ends after that":                        {known.WithRestoredList(position.Of(2, 20), nil).WithChanges(position.Of(2, 21), []Change{{Zone: one[0], Ended: true}}), 0, position.Of(2, 21), position.Of(2, 21)},
+		"an older copy has a drain that ended":          {known.WithList(60, nil).WithRestoredList(position.Of(2, 45), one), 0, position.Of(2, 45), position.Of(2, 1)},
+		"an older copy, and the zone was drained again": {known.WithList(60, nil).WithRestoredList(position.Of(2, 45), []Zone{{Name: "a", Revision: position.Of(2, 44)}}), 1, position.Of(2, 45), position.Of(2, 45)},
+		"an older copy, and another zone was drained":   {known.WithRestoredList(position.Of(2, 45), []Zone{{Name: "b", Revision: position.Of(2, 44)}}), 2, position.Of(2, 45), position.Of(2, 45)},
 		"an older change is ignored":                    {known.WithChanges(49, []Change{{Zone: one[0], Ended: true}}), 1, 50, 40},
 		"ended and written again": {
 			known.WithChanges(57, []Change{{Zone: one[0], Ended: true}, {Zone: Zone{Name: "a", Revision: 57}}}), 1, 57, 57,
@@ -124,11 +124,11 @@
 	for range 20 {
 		for i := range boxes {
 			for j := range boxes {
-				if !boxes[i].Misses(boxes[j].Version()) {
+				if !boxes[i].MayLack(boxes[j].Version()) {
 					continue
 				}
 				answer := boxes[j].Update("")
-				if boxes[i].Corrects(answer) {
+				if boxes[i].Supersedes(answer) {
 					boxes[j] = boxes[j].WithUpdate(boxes[i].Update(""))
 				}
 				boxes[i] = boxes[i].WithUpdate(answer)
--- a/state/estimate/length.go
+++ b/state/estimate/length.go
@@ -61,9 +61,9 @@
 	return float64(guess) * math.Exp(l.mean+l.variance()/2)
 }
 
-// GoesOn returns the probability that an answer of some length grows by at least so many
-// further tokens.
-func (l Length) GoesOn(guess, tokens int, further float64) float64 {
+// ContinueProbability returns the probability that an answer of some length grows by at least so
+// many further tokens.
+func (l Length) ContinueProbability(guess, tokens int, further float64) float64 {
 	if further <= 0 {
 		return 1
 	}
--- a/state/estimate/length_test.go
+++ b/state/estimate/length_test.go
@@ -37,7 +37,7 @@
 					}
 				}
 				simulated := float64(longer) / float64(count)
-				convey.So(l.GoesOn(600, 0, 700), convey.ShouldAlmostEqual, simulated, 0.08)
+				convey.So(l.ContinueProbability(600, 0, 700), convey.ShouldAlmostEqual, simulated, 0.08)
 				want := 600 * math.Exp(c.mean+c.spread*c.spread/2)
 				convey.So(l.Expected(600), convey.ShouldAlmostEqual, want, 0.2*want)
 			})
@@ -48,7 +48,7 @@
 		for _, tokens := range []int{0, 100, 600, 5000, 1_000_000} {
 			last := 1.0
 			for _, further := range []float64{0, 1, 50, 600, 5000} {
-				chance := l.GoesOn(600, tokens, further)
+				chance := l.ContinueProbability(600, tokens, further)
 				convey.So(chance, convey.ShouldBeBetweenOrEqual, 0, last)
 				last = chance
 			}
--- a/state/group/group.go
+++ b/state/group/group.go
@@ -164,7 +164,7 @@
 		changes := make([]change, 0, len(ids))
 		for _, id := range ids {
 			status, known := d.Status(id)
-			changes = append(changes, change{id: id, status: status, belongs: known && status.Service == name && !status.Gone && !status.Left})
+			changes = append(changes, change{id: id, status: status, belongs: known && status.Service == name && !status.Gone && !status.Replaced})
 		}
 		next, regrouped := s.with(changes)
 		g.routed[name] = next
--- a/state/group/group_test.go
+++ b/state/group/group_test.go
@@ -86,7 +86,7 @@
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			revision++
 			if rapid.IntRange(0, 9).Draw(t, "left") == 0 {
-				d = d.WithLeft(fmt.Sprint("i-", rapid.IntRange(0, size).Draw(t, "id")))
+				d = d.WithReplaced(fmt.Sprint("i-", rapid.IntRange(0, size).Draw(t, "id")))
 			}
 			d = d.WithChanges(time.Time{}, revision, drawChanges(t, size))
 			if rapid.IntRange(0, 4).Draw(t, "drains") == 0 {
@@ -94,7 +94,7 @@
 				d = d.WithDrained(time.Time{}, map[string]bool{zone: true})
 			}
 			if rapid.Bool().Draw(t, "forgets") {
-				d = d.Without(time.Time{}.Add(time.Hour), time.Minute)
+				d = d.WithoutGone(time.Time{}.Add(time.Hour), time.Minute)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "looks") > 0 {
 				g = g.With(d)
@@ -212,7 +212,7 @@
 			gone = append(gone, directory.Change{Entry: e, Gone: true})
 		}
 	}
-	after := before.With(d.WithChanges(time.Time{}, 2, gone).Without(time.Time{}.Add(time.Hour), time.Minute))
+	after := before.With(d.WithChanges(time.Time{}, 2, gone).WithoutGone(time.Time{}.Add(time.Hour), time.Minute))
 	for _, key := range after.Layout().Keys() {
 		was, known := before.Get(key)
 		if now, _ := after.Get(key); !known || !slices.Equal(was.Members, now.Members) {
--- a/state/group/service.go
+++ b/state/group/service.go
@@ -46,7 +46,7 @@
 	s := service{spec: spec, regions: regions, zones: make(map[string]int)}
 	members := immutable.NewSortedMapBuilder[string, table.Member](nil)
 	for _, status := range statuses {
-		if status.Gone || status.Left {
+		if status.Gone || status.Replaced {
 			continue
 		}
 		m := newMember(spec, status)
--- a/state/health/health.go
+++ b/state/health/health.go
@@ -79,13 +79,13 @@
 	trying, passed bool
 }
 
-// Out reports whether the endpoint gets no work at the moment.
-func (b Breaker) Out(now time.Time) bool {
+// Ejected reports whether the endpoint gets no work at the moment.
+func (b Breaker) Ejected(now time.Time) bool {
 	return now.Before(b.outUntil) || b.trying
 }
 
-// OutFor returns how long the endpoint remains ejected; 0 if it is not.
-func (b Breaker) OutFor(now time.Time) time.Duration {
+// EjectedFor returns how long the endpoint remains ejected; 0 if it is not.
+func (b Breaker) EjectedFor(now time.Time) time.Duration {
 	return max(b.outUntil.Sub(now), 0)
 }
 
--- a/state/health/health_test.go
+++ b/state/health/health_test.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		b = b.WithFailure(now, health.DefaultConfig(), health.Failure{Usual: usual, Total: 3}, r)
-		if b.Out(now) {
+		if b.Ejected(now) {
 			return n + 1
 		}
 	}
@@ -74,22 +74,22 @@
 		for range 3 {
 			b = b.WithFailure(now, health.DefaultConfig(), failure, r)
 		}
-		first := b.OutFor(now)
+		first := b.EjectedFor(now)
 		convey.So(first, convey.ShouldBeGreaterThan, 0)
 		later := now.Add(first)
 		convey.So(b.Trial(later), convey.ShouldBeTrue)
 		b = b.WithTrial().WithFailure(later, health.DefaultConfig(), failure, r)
-		convey.So(b.OutFor(later), convey.ShouldBeGreaterThan, 0)
+		convey.So(b.EjectedFor(later), convey.ShouldBeGreaterThan, 0)
 		convey.Convey("One successful trial ends the trials, so that it gets its share of work again", func() {
-			later = later.Add(b.OutFor(later))
+			later = later.Add(b.EjectedFor(later))
 			b = b.WithTrial().WithSuccess(0)
-			convey.So(b.Out(later), convey.ShouldBeFalse)
+			convey.So(b.Ejected(later), convey.ShouldBeFalse)
 			convey.So(b.Trial(later), convey.ShouldBeFalse)
 			b = b.WithFailure(later, health.DefaultConfig(), failure, r)
-			convey.So(b.Out(later), convey.ShouldBeFalse)
+			convey.So(b.Ejected(later), convey.ShouldBeFalse)
 			b = b.WithFailure(later, health.DefaultConfig(), failure, r)
-			convey.So(b.Out(later), convey.ShouldBeTrue)
-			convey.So(b.Trial(later.Add(b.OutFor(later))), convey.ShouldBeTrue)
+			convey.So(b.Ejected(later), convey.ShouldBeTrue)
+			convey.So(b.Trial(later.Add(b.EjectedFor(later))), convey.ShouldBeTrue)
 		})
 		convey.Convey("Several successes clear it", func() {
 			for range 40 {
@@ -115,13 +115,13 @@
 			r := rand.New(rand.NewPCG(1, 1))
 			now := time.Unix(0, 0)
 			b := health.Breaker{}.WithFailure(now, refusedConnection, health.Failure{Total: 3}, r)
-			later := now.Add(b.OutFor(now))
-			if !b.Out(now) || !b.Trial(later) {
+			later := now.Add(b.EjectedFor(now))
+			if !b.Ejected(now) || !b.Trial(later) {
 				t.Fatal("a refused connection does not eject the endpoint")
 			}
 			b = b.WithTrial().WithFailure(later, health.DefaultConfig(), health.Failure{Usual: c.usual, Total: 3}, r)
-			if b.Out(later) != c.out {
-				t.Errorf("out after a failed trial: %v, not %v", b.Out(later), c.out)
+			if b.Ejected(later) != c.out {
+				t.Errorf("out after a failed trial: %v, not %v", b.Ejected(later), c.out)
 			}
 		})
 	}
--- a/state/lifecycle/machine.go
+++ b/state/lifecycle/machine.go
@@ -65,7 +65,7 @@
 		return m.token(ev)
 	case StepFailed:
 		return m.stepFailed(ev)
-	case CallerGone:
+	case CallerDisconnected:
 		return m.end(Cancelled, ReasonCallerGone, 0)
 	case Stop:
 		return m.end(m.provenEnd(), ev.Reason, ev.RetryAfterMS)
--- a/state/lifecycle/machine_test.go
+++ b/state/lifecycle/machine_test.go
@@ -134,7 +134,7 @@
 		ran := Ran(rapid.IntRange(int(lowest), int(DidRun)).Draw(t, "ran"))
 		return StepFailed{Attempt: attempt, Ran: ran, Engine: engine, Reason: ReasonEngine, Retry: rapid.Bool().Draw(t, "retry")}
 	case 8:
-		return CallerGone{}
+		return CallerDisconnected{}
 	default:
 		return Stop{Reason: ReasonDeadline}
 	}
--- a/state/lifecycle/types.go
+++ b/state/lifecycle/types.go
@@ -173,23 +173,23 @@
 
 // Reasons given to callers.
 const (
-	ReasonOverloaded   Reason = "overloaded"
-	ReasonHopeless     Reason = "target_cannot_be_met"
-	ReasonQueueFull    Reason = "queue_full"
-	ReasonAccountLimit Reason = "account_limit"
-	ReasonNoEngine     Reason = "no_engine"
-	ReasonNoHome       Reason = "home_not_reachable"
-	ReasonDeadline     Reason = "deadline_passed"
-	ReasonEngine       Reason = "engine_failed"
-	ReasonTransfer     Reason = "transfer_failed"
-	ReasonCallerGone   Reason = "caller_gone"
-	ReasonRouteRemoved Reason = "route_removed"
-	ReasonStopping     Reason = "box_stopping"
-	ReasonDuplicate    Reason = "duplicate"
-	ReasonKeyConflict  Reason = "key_used_for_another_request"
-	ReasonPoison       Reason = "poison_request"
-	// ReasonMoved is used only between boxes: the group has another home now.
-	ReasonMoved Reason = "home_moved"
+	ReasonOverloaded        Reason = "overloaded"
+	ReasonTargetUnreachable Reason = "target_cannot_be_met"
+	ReasonQueueFull         Reason = "queue_full"
+	ReasonAccountLimit      Reason = "account_limit"
+	ReasonNoEngine          Reason = "no_engine"
+	ReasonNoHome            Reason = "home_not_reachable"
+	ReasonDeadline          Reason = "deadline_passed"
+	ReasonEngine            Reason = "engine_failed"
+	ReasonTransfer          Reason = "transfer_failed"
+	ReasonCallerGone        Reason = "caller_gone"
+	ReasonRouteRemoved      Reason = "route_removed"
+	ReasonStopping          Reason = "box_stopping"
+	ReasonDuplicate         Reason = "duplicate"
+	ReasonKeyConflict       Reason = "key_used_for_another_request"
+	ReasonPoison            Reason = "poison_request"
+	// ReasonHomeMoved is used only between boxes: the group has another home now.
+	ReasonHomeMoved Reason = "home_moved"
 )
 
 // Event is an input of Machine.Step. It is one of the types below that have an
@@ -247,8 +247,8 @@
 	RetryAfterMS int
 }
 
-// CallerGone reports that the caller's connection was closed.
-type CallerGone struct{}
+// CallerDisconnected reports that the caller's connection was closed.
+type CallerDisconnected struct{}
 
 // Stop ends the request for an external reason: its deadline, a removed route or
 // a forced stop.
@@ -260,17 +260,17 @@
 // Released reports that an engine acknowledged the release of a hold.
 type Released struct{ Hold Hold }
 
-func (Granted) event()     {}
-func (Refused) event()     {}
-func (Started) event()     {}
-func (PrefillDone) event() {}
-func (SlotReady) event()   {}
-func (MoveDone) event()    {}
-func (Token) event()       {}
-func (StepFailed) event()  {}
-func (CallerGone) event()  {}
-func (Stop) event()        {}
-func (Released) event()    {}
+func (Granted) event()            {}
+func (Refused) event()            {}
+func (Started) event()            {}
+func (PrefillDone) event()        {}
+func (SlotReady) event()          {}
+func (MoveDone) event()           {}
+func (Token) event()              {}
+func (StepFailed) event()         {}
+func (CallerDisconnected) event() {}
+func (Stop) event()               {}
+func (Released) event()           {}
 
 // Effect is an action that the driver must carry out. It is one of the types
 // below.
--- a/state/member/measured_test.go
+++ b/state/member/measured_test.go
@@ -25,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			at := time.Unix(1_700_000_000, 0)
 			v := New(Config{Self: Box{Name: "a", Incarnation: 1}, Seed: 1}, at)
-			v.Introduce(at, Box{Name: "b", Address: "b"})
+			v.AddListed(at, Box{Name: "b", Address: "b"})
 			v.syncing.done, v.syncing.later = true, laterSyncs+1
 			if sent := v.Tick(at); len(sent) != 1 || sent[0].To != "b" {
 				t.Fatalf("sends %+v", sent)
--- a/state/member/member.go
+++ b/state/member/member.go
@@ -72,8 +72,8 @@
 	SuspectPeriods int
 	// Updates is the maximum number of updates about other boxes on one message.
 	Updates int
-	// Forget is how long dead boxes are remembered.
-	Forget time.Duration
+	// ForgetAfter is how long dead boxes are remembered.
+	ForgetAfter time.Duration
 	// Regions maps zones to regions: most probes stay within this box's region.
 	Regions locality.Map
 	Seed    uint64
@@ -107,8 +107,8 @@
 	if c.Updates <= 0 {
 		c.Updates = defaultUpdates
 	}
-	if c.Forget <= 0 {
-		c.Forget = defaultForget
+	if c.ForgetAfter <= 0 {
+		c.ForgetAfter = defaultForget
 	}
 	return c
 }
@@ -244,9 +244,9 @@
 	return out, out.Box != ""
 }
 
-// Duty lists the boxes that may have duties, this one included: the live and the
+// DutyCandidates lists the boxes that may have duties, this one included: the live and the
 // suspected ones, sorted by name.
-func (v *View) Duty() []Box {
+func (v *View) DutyCandidates() []Box {
 	return v.list(func(e *entry) bool { return e.State == Live || e.State == Suspect })
 }
 
@@ -285,16 +285,16 @@
 	return e.Box, true
 }
 
-// Distrusts reports whether this box was paused recently, so that its
+// PausedRecently reports whether this box was paused recently, so that its
 // observations of others do not count.
-func (v *View) Distrusts(now time.Time) bool {
+func (v *View) PausedRecently(now time.Time) bool {
 	return now.Before(v.distrustUntil)
 }
 
-// Introduce adds a box from the platform's list, which lags behind. It adds only
+// AddListed adds a box from the platform's list, which lags behind. It adds only
 // boxes that are not known yet or that return at another address: what boxes
 // report about themselves takes precedence.
-func (v *View) Introduce(now time.Time, b Box) {
+func (v *View) AddListed(now time.Time, b Box) {
 	e, known := v.boxes[b.Name]
 	if !known {
 		b.Incarnation = 0
@@ -310,9 +310,9 @@
 	}
 }
 
-// Refused marks a box as dead after its machine refused a connection: this proves
+// ConnectionRefused marks a box as dead after its machine refused a connection: this proves
 // that the process is gone, so no suspicion has to come first.
-func (v *View) Refused(now time.Time, name string) {
+func (v *View) ConnectionRefused(now time.Time, name string) {
 	e, ok := v.boxes[name]
 	if !ok || e.State == Dead || name == v.cfg.Self.Name {
 		return
@@ -401,9 +401,9 @@
 	v.announceSelf(now, state)
 }
 
-// Denied reports whether others took this box for dead since the previous call:
+// ReportedDead reports whether others took this box for dead since the previous call:
 // its duties may have been given to another box meanwhile.
-func (v *View) Denied() bool {
+func (v *View) ReportedDead() bool {
 	denied := v.reportedDead
 	v.reportedDead = false
 	return denied
--- a/state/member/member_test.go
+++ b/state/member/member_test.go
@@ -77,7 +77,7 @@
 	w.views[name] = New(Config{Self: self, Regions: w.regions, Seed: w.seed + start + uint64(name[1])*7 + uint64(name[2])}, w.now)
 	for _, other := range w.names {
 		if other != name {
-			w.views[name].Introduce(w.now, Box{Name: other, Address: other, Zone: w.zones[other]})
+			w.views[name].AddListed(w.now, Box{Name: other, Address: other, Zone: w.zones[other]})
 		}
 	}
 	w.down[name] = false
@@ -199,7 +199,7 @@
 					if name == "an observer's own pause" && n != "b02" {
 						continue
 					}
-					convey.So(w.views[n].Duty(), convey.ShouldHaveLength, 8)
+					convey.So(w.views[n].DutyCandidates(), convey.ShouldHaveLength, 8)
 				}
 			})
 		})
@@ -214,8 +214,8 @@
 		// lose against a suspicion with the box's real incarnation.
 		w.run(30 * time.Second)
 		w.down["b07"] = true
-		w.views["b00"].Refused(w.now, "b07")
-		convey.So(w.views["b00"].Duty(), convey.ShouldHaveLength, 49)
+		w.views["b00"].ConnectionRefused(w.now, "b07")
+		convey.So(w.views["b00"].DutyCandidates(), convey.ShouldHaveLength, 49)
 		w.run(5 * time.Second)
 		convey.So(w.disagreement(), convey.ShouldEqual, "")
 	})
@@ -223,7 +223,7 @@
 
 // establishedIn returns the established boxes of one box's view, as one string.
 func (w *network) establishedIn(name string) string {
-	return strings.Join(Established(w.views[name].Duty()), " ")
+	return strings.Join(Established(w.views[name].DutyCandidates()), " ")
 }
 
 func TestEstablishedIsTheSameEverywhere(t *testing.T) {
@@ -244,7 +244,7 @@
 		w.run(40 * time.Second)
 		w.down["b07"] = true
 		for _, name := range w.names {
-			w.views[name].Refused(w.now, "b07")
+			w.views[name].ConnectionRefused(w.now, "b07")
 		}
 		w.run(time.Second)
 		w.start("b09")
--- a/state/member/protocol.go
+++ b/state/member/protocol.go
@@ -61,7 +61,7 @@
 func (v *View) concludeProbe(now time.Time) {
 	p := v.probe
 	v.probe = probe{}
-	if p.target == "" || p.answered || v.Distrusts(now) {
+	if p.target == "" || p.answered || v.PausedRecently(now) {
 		return
 	}
 	e, ok := v.boxes[p.target]
@@ -96,7 +96,7 @@
 // fleet is suspected the fault is more likely on this box's side, so suspects get
 // more time.
 func (v *View) expire(now time.Time) {
-	if v.Distrusts(now) {
+	if v.PausedRecently(now) {
 		return
 	}
 	suspects := 0
@@ -108,7 +108,7 @@
 	mostSuspect := suspects*2 > len(v.boxes)-1 && len(v.boxes) > smallFleet
 	var oldest *entry
 	for name, e := range v.boxes {
-		if e.State == Dead && now.Sub(e.since) > v.cfg.Forget {
+		if e.State == Dead && now.Sub(e.since) > v.cfg.ForgetAfter {
 			delete(v.boxes, name)
 			continue
 		}
@@ -194,7 +194,7 @@
 
 // requestIndirectProbes asks a few live boxes to probe the silent one.
 func (v *View) requestIndirectProbes() []Send {
-	live := slices.DeleteFunc(v.Duty(), func(b Box) bool { return b.Name == v.probe.target || b.State != Live })
+	live := slices.DeleteFunc(v.DutyCandidates(), func(b Box) bool { return b.Name == v.probe.target || b.State != Live })
 	helpers := v.nearFirst(live, v.cfg.Indirect)
 	v.random.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
 	var out []Send
--- a/state/member/regions_test.go
+++ b/state/member/regions_test.go
@@ -55,7 +55,7 @@
 	w.lose = func(from, to string) bool { return w.zones[from] != w.zones[to] }
 	w.run(90 * time.Second)
 	near, far := 0, 0
-	for _, b := range w.views["b00"].Duty() {
+	for _, b := range w.views["b00"].DutyCandidates() {
 		if b.Zone == "z0" {
 			near++
 		} else {
--- a/state/member/sync.go
+++ b/state/member/sync.go
@@ -55,7 +55,7 @@
 	if now.Before(s.next) || s.later > laterSyncs {
 		return nil
 	}
-	others := v.nearFirst(v.Duty(), 1)
+	others := v.nearFirst(v.DutyCandidates(), 1)
 	if len(others) == 0 {
 		return nil
 	}
--- a/state/member/sync_test.go
+++ b/state/member/sync_test.go
@@ -170,7 +170,7 @@
 	w.views[name] = New(Config{Self: self, Seed: start}, w.now)
 	for _, other := range w.names {
 		if listed() {
-			w.views[name].Introduce(w.now, Box{Name: other, Address: other, Zone: w.zones[other]})
+			w.views[name].AddListed(w.now, Box{Name: other, Address: other, Zone: w.zones[other]})
 		}
 	}
 	w.names = append(w.names, name)
--- a/state/member/zone_test.go
+++ b/state/member/zone_test.go
@@ -32,10 +32,10 @@
 // its first three boxes in rank, as many as read the platform.
 func (w *network) holders(box string) []string {
 	var live []string
-	for _, b := range w.views[box].Duty() {
+	for _, b := range w.views[box].DutyCandidates() {
 		live = append(live, b.Name)
 	}
-	chosen := rank.Of(Established(w.views[box].Duty()))
+	chosen := rank.Of(Established(w.views[box].DutyCandidates()))
 	var out []string
 	for _, home := range chosen.Assign(duties()) {
 		out = append(out, home)
@@ -48,7 +48,7 @@
 
 // assignsTo reports whether a box may assign duties to any of some others.
 func (w *network) assignsTo(box string, others func(box string) bool) bool {
-	return slices.ContainsFunc(w.views[box].Duty(), func(b Box) bool { return others(b.Name) })
+	return slices.ContainsFunc(w.views[box].DutyCandidates(), func(b Box) bool { return others(b.Name) })
 }
 
 // runUntilReplaced runs the network until in the view of no box of one part a lost box holds a duty,
@@ -137,7 +137,7 @@
 func (w *network) refuseConnections() {
 	w.lose = func(from, to string) bool {
 		if w.down[to] {
-			w.views[from].Refused(w.now, to)
+			w.views[from].ConnectionRefused(w.now, to)
 		}
 		return false
 	}
--- a/state/pace/bucket.go
+++ b/state/pace/bucket.go
@@ -17,7 +17,7 @@
 	minPerSecond = 0.1
 	// limitSettleTime is the time after which a box that has become the home of a group is the
 	// only box that acts as its home, and all that its predecessor granted has been sent.
-	limitSettleTime = viewSpread + Lag
+	limitSettleTime = viewSpread + MaxSendDelay
 	// contestedShare is the part of a limit that a box grants while another box may act as the
 	// home too: because it has just become the home, or because it is asked in place of a
 	// silent home.
@@ -71,9 +71,9 @@
 // Allows reports whether one more request may be granted.
 func (b Bucket) Allows() bool { return b.level >= 1-rounding }
 
-// Free returns when a request may be granted that comes after so many others, at a rate. It
+// FreeAt returns when a request may be granted that comes after so many others, at a rate. It
 // returns math.MaxInt64 if that never happens.
-func (b Bucket) Free(others int, rate float64) time.Duration {
+func (b Bucket) FreeAt(others int, rate float64) time.Duration {
 	missing := float64(others+1) - b.level
 	switch {
 	case missing <= rounding:
--- a/state/pace/bucket_test.go
+++ b/state/pace/bucket_test.go
@@ -18,7 +18,7 @@
 func ExampleBucket() {
 	const rate = 2
 	b := NewBucket(0, 0)
-	fmt.Println(b.Allows(), b.Free(0, rate), b.Free(2, rate))
+	fmt.Println(b.Allows(), b.FreeAt(0, rate), b.FreeAt(2, rate))
 	b = b.WithTime(time.Second, rate)
 	fmt.Println(b.Allows(), b.WithTaken().Allows())
 	// Output:
@@ -99,7 +99,7 @@
 		}
 		share := Share(Standing{Home: now >= d.begin, For: now - d.since, Seen: d.seen, All: w.all})
 		for b = b.WithTime(now, l.Rate(share)); b.Allows(); b = b.WithTaken() {
-			delay := time.Duration(w.random.Int64N(int64(Lag)))
+			delay := time.Duration(w.random.Int64N(int64(MaxSendDelay)))
 			if w.random.IntN(2) == 0 {
 				// It is sent after a prefill, which takes about as long each time.
 				delay += 700*time.Millisecond + time.Duration(w.random.Int64N(int64(400*time.Millisecond)))
--- a/state/pace/counted.go
+++ b/state/pace/counted.go
@@ -25,5 +25,5 @@
 	if c.Prefilled.IsZero() {
 		return c.Decode && now.Sub(c.Granted) <= SendWithin
 	}
-	return c.Decode && now.Sub(c.Prefilled) <= SendWithin && now.Sub(c.Granted) <= OpenFor
+	return c.Decode && now.Sub(c.Prefilled) <= SendWithin && now.Sub(c.Granted) <= OpenTimeout
 }
--- a/state/pace/oracle_test.go
+++ b/state/pace/oracle_test.go
@@ -137,15 +137,15 @@
 			s := openGrant{box: d.box, granted: now, notified: -1}
 			if w.random.IntN(2) == 0 {
 				w.windows[d.box] = w.windows[d.box].WithOpen(now)
-				s.notified = now + within(OpenFor-Lag)
-				s.at = s.notified + within(Lag)
+				s.notified = now + within(OpenTimeout-MaxSendDelay)
+				s.at = s.notified + within(MaxSendDelay)
 				if w.random.IntN(10) == 0 {
 					// The notification is lost.
 					s.notified = now + time.Hour
 				}
 			} else {
 				w.windows[d.box] = w.windows[d.box].WithSent(now)
-				s.at = now + within(Lag)
+				s.at = now + within(MaxSendDelay)
 			}
 			w.pending = append(w.pending, s)
 			w.arrivals = append(w.arrivals, s.at)
--- a/state/pace/pace.go
+++ b/state/pace/pace.go
@@ -48,8 +48,8 @@
 	quietTime = Span
 	// settleTime is the time after which a box that has become the home of a group is the only
 	// one whose requests arrive: its predecessor may grant until viewSpread later, its grants
-	// are sent within OpenFor, and each counts for a second.
-	settleTime = viewSpread + OpenFor + time.Second
+	// are sent within OpenTimeout, and each counts for a second.
+	settleTime = viewSpread + OpenTimeout + time.Second
 )
 
 // ReturnTime is the time within which a box that becomes the home again continues as the home
--- a/state/pace/ways_test.go
+++ b/state/pace/ways_test.go
@@ -132,7 +132,7 @@
 	var arrivals []time.Duration
 	ask := func(now time.Duration, box int, s Standing) {
 		for b.allows(now, box, s) {
-			arrivals = append(arrivals, now+time.Duration(random.Int64N(int64(Lag))))
+			arrivals = append(arrivals, now+time.Duration(random.Int64N(int64(MaxSendDelay))))
 		}
 	}
 	for now := time.Duration(0); now < duration; now += step {
--- a/state/pace/window.go
+++ b/state/pace/window.go
@@ -11,17 +11,18 @@
 const (
 	// SendWithin is how long after its grant, or after the message that its prefill is done, a
 	// box may start to send a request to a cold endpoint; later it has to ask again. The
-	// remaining time up to Lag allows for opening a connection.
+	// remaining time up to MaxSendDelay allows for opening a connection.
 	SendWithin = 150 * time.Millisecond
-	// Lag is the maximum time from the grant, or from that message, until the request is sent.
-	Lag = 200 * time.Millisecond
-	// OpenFor is how long after its grant a request may be sent to the cold endpoint that
+	// MaxSendDelay is the maximum time from the grant, or from that message, until the request
+	// is sent.
+	MaxSendDelay = 200 * time.Millisecond
+	// OpenTimeout is how long after its grant a request may be sent to the cold endpoint that
 	// decodes it. A box gives up on a prefill after 1.5 times its target: 1.4 s for a target of
 	// 0.9 s.
-	OpenFor = 2 * time.Second
+	OpenTimeout = 2 * time.Second
 	// Span is how long a request counts after the last moment at which it is known not to have
 	// been sent: a second, plus the time until it is sent.
-	Span = time.Second + Lag
+	Span = time.Second + MaxSendDelay
 )
 
 // Window counts the recent grants for one cold endpoint. A request counts from its grant until
@@ -39,7 +40,7 @@
 	open []time.Duration
 }
 
-// WithSent returns the window after a request that will be sent within Lag of now.
+// WithSent returns the window after a request that will be sent within MaxSendDelay of now.
 func (w Window) WithSent(now time.Duration) Window {
 	// Older requests no longer count.
 	sent := slices.DeleteFunc(slices.Clone(w.sent), func(at time.Duration) bool { return now-at >= Span })
@@ -51,20 +52,20 @@
 // WithOpen returns the window after a grant whose request is sent later, once its prefill is
 // done.
 func (w Window) WithOpen(granted time.Duration) Window {
-	w.open = slices.DeleteFunc(slices.Clone(w.open), func(at time.Duration) bool { return granted-at >= OpenFor+Span })
+	w.open = slices.DeleteFunc(slices.Clone(w.open), func(at time.Duration) bool { return granted-at >= OpenTimeout+Span })
 	w.open = append(w.open, granted)
 	return w
 }
 
-// WithDone returns the window after the message that an open request will be sent within Lag of
-// now, or was sent already.
+// WithDone returns the window after the message that an open request will be sent within
+// MaxSendDelay of now, or was sent already.
 func (w Window) WithDone(granted, now time.Duration) Window {
 	i := slices.Index(w.open, granted)
 	if i < 0 {
 		return w
 	}
 	w.open = slices.Delete(slices.Clone(w.open), i, i+1)
-	return w.WithSent(min(now, granted+OpenFor))
+	return w.WithSent(min(now, granted+OpenTimeout))
 }
 
 // Count returns how many requests count now.
@@ -76,16 +77,16 @@
 		}
 	}
 	for _, granted := range w.open {
-		if now-granted < OpenFor+Span {
+		if now-granted < OpenTimeout+Span {
 			count++
 		}
 	}
 	return count
 }
 
-// Free lists when each slot of the limit is free: now, or when the request in it stops
+// FreeAt lists when each slot of the limit is free: now, or when the request in it stops
 // counting. An open request is assumed to be sent now.
-func (w Window) Free(now time.Duration, limit int) []time.Duration {
+func (w Window) FreeAt(now time.Duration, limit int) []time.Duration {
 	var busy []time.Duration
 	for _, at := range w.sent {
 		if now-at < Span {
@@ -93,7 +94,7 @@
 		}
 	}
 	for _, granted := range w.open {
-		if now-granted < OpenFor+Span {
+		if now-granted < OpenTimeout+Span {
 			busy = append(busy, now+Span)
 		}
 	}
--- a/state/pace/window_test.go
+++ b/state/pace/window_test.go
@@ -39,7 +39,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got := c.w.Free(c.now, c.limit); !slices.Equal(got, c.want) {
+			if got := c.w.FreeAt(c.now, c.limit); !slices.Equal(got, c.want) {
 				t.Errorf("free at %v, want %v", got, c.want)
 			}
 		})
--- a/state/poison/ledger.go
+++ b/state/poison/ledger.go
@@ -149,9 +149,9 @@
 
 func compareFingerprints(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) }
 
-// PassedOn lists the suspects that are announced to other boxes at a time, ordered by
+// Announced lists the suspects that are announced to other boxes at a time, ordered by
 // fingerprint.
-func (l Ledger) PassedOn(now time.Time) []Suspect {
+func (l Ledger) Announced(now time.Time) []Suspect {
 	var out []Suspect
 	for _, s := range l.suspects {
 		if now.Sub(s.Seen) < time.Duration(announceShare*float64(Keep)) {
@@ -166,7 +166,7 @@
 // none.
 func (l Ledger) Digest(now time.Time) uint64 {
 	sum := uint64(0)
-	for _, s := range l.PassedOn(now) {
+	for _, s := range l.Announced(now) {
 		starts := make(map[uint64]uint64, len(s.Ends))
 		for _, e := range s.Ends {
 			item := binary.AppendUvarint(s.Fingerprint[:], e.Endpoint)
--- a/state/poison/ledger_test.go
+++ b/state/poison/ledger_test.go
@@ -132,7 +132,7 @@
 func TestExpiringSuspectsAreNotExchanged(t *testing.T) {
 	known, _ := Ledger{}.With(start, suspect("a", 0, "e1"))
 	late := start.Add(time.Duration(acceptShare * float64(Keep)))
-	if len(known.PassedOn(late)) != 0 || known.Digest(late) != 0 {
+	if len(known.Announced(late)) != 0 || known.Digest(late) != 0 {
 		t.Error("announced just before it expires")
 	}
 	if other, changed := (Ledger{}).With(late, suspect("a", 0, "e1")); other.Len() != 0 || len(changed) != 0 {
@@ -192,13 +192,13 @@
 		for _, i := range rapid.Permutation(indices(len(again))).Draw(t, "order") {
 			other, _ = other.With(start, again[i])
 		}
-		if !reflect.DeepEqual(one.PassedOn(start), other.PassedOn(start)) || !reflect.DeepEqual(one.AllBlocked(), other.AllBlocked()) {
+		if !reflect.DeepEqual(one.Announced(start), other.Announced(start)) || !reflect.DeepEqual(one.AllBlocked(), other.AllBlocked()) {
 			t.Fatalf("%v differs from %v", one, other)
 		}
 		if one.Digest(start) != other.Digest(start) {
 			t.Fatal("the digests differ")
 		}
-		if _, changed := one.With(start, other.PassedOn(start)...); len(changed) != 0 {
+		if _, changed := one.With(start, other.Announced(start)...); len(changed) != 0 {
 			t.Fatal("what is known already counts as a change")
 		}
 	})
--- a/state/quota/purse.go
+++ b/state/quota/purse.go
@@ -18,10 +18,10 @@
 	at   time.Duration
 }
 
-// WithSpent takes a cost out of the purse and returns the part that the purse lacks, which the
+// WithCharge takes a cost out of the purse and returns the part that the purse lacks, which the
 // box has to ask for. A cost is always charged to the balance first, so a box never accumulates
 // more than one loan ahead of need.
-func (p Purse) WithSpent(now time.Duration, cost float64) (Purse, float64) {
+func (p Purse) WithCharge(now time.Duration, cost float64) (Purse, float64) {
 	if now >= p.expires {
 		p.balance = 0
 	}
@@ -72,8 +72,8 @@
 	return p.recentUse(now, life) * math.Ln2
 }
 
-// Left returns the units that may still be spent.
-func (p Purse) Left(now time.Duration) float64 {
+// Balance returns the units that may still be spent.
+func (p Purse) Balance(now time.Duration) float64 {
 	if now >= p.expires {
 		return 0
 	}
--- a/state/quota/quota.go
+++ b/state/quota/quota.go
@@ -46,8 +46,8 @@
 	Rate, Burst float64
 	// Start is the level of the bucket of a new home, in units.
 	Start float64
-	// Lends reports whether tokens may be lent ahead of need.
-	Lends bool
+	// CanLend reports whether tokens may be lent ahead of need.
+	CanLend bool
 }
 
 // Terms returns the terms of a home that sees some of all boxes. Boxes that are partitioned
@@ -56,7 +56,7 @@
 func (b Bound) Terms(q table.Quota, seen, all int) Terms {
 	start := min(startShare*b.Slack, q.Burst)
 	if seen >= all {
-		return Terms{Rate: q.Rate, Burst: q.Burst, Start: start, Lends: b.Overage > 0}
+		return Terms{Rate: q.Rate, Burst: q.Burst, Start: start, CanLend: b.Overage > 0}
 	}
 	part := float64(seen) / float64(max(all, 1))
 	slack := 0.0
@@ -152,7 +152,7 @@
 	}
 	b.level -= n.Cost
 	more := 0.0
-	if t.Lends {
+	if t.CanLend {
 		more = max(min(n.More, b.level-lendFloor*t.Burst), 0)
 	}
 	b.level -= more
--- a/state/quota/quota_test.go
+++ b/state/quota/quota_test.go
@@ -24,7 +24,7 @@
 
 func TestBucket(t *testing.T) {
 	terms := quota.Terms{Rate: 100, Burst: 50}
-	lends := quota.Terms{Rate: 100, Burst: 50, Lends: true}
+	lends := quota.Terms{Rate: 100, Burst: 50, CanLend: true}
 	cases := map[string]struct {
 		terms quota.Terms
 		// idle is how long the bucket refills before the need.
@@ -82,7 +82,7 @@
 		seen, all int
 		want      quota.Terms
 	}{
-		"all boxes are seen":  {10, 10, quota.Terms{Rate: 100, Burst: 50, Start: 20, Lends: true}},
+		"all boxes are seen":  {10, 10, quota.Terms{Rate: 100, Burst: 50, Start: 20, CanLend: true}},
 		"half of them":        {5, 10, quota.Terms{Rate: 55, Burst: 25, Start: 10}},
 		"all but one":         {9, 10, quota.Terms{Rate: 99, Burst: 45, Start: 18}},
 		"one that is cut off": {1, 10, quota.Terms{Rate: 11, Burst: 5, Start: 2}},
@@ -94,13 +94,13 @@
 				convey.So(got.Rate, convey.ShouldAlmostEqual, c.want.Rate)
 				convey.So(got.Burst, convey.ShouldAlmostEqual, c.want.Burst)
 				convey.So(got.Start, convey.ShouldAlmostEqual, c.want.Start)
-				convey.So(got.Lends, convey.ShouldEqual, c.want.Lends)
+				convey.So(got.CanLend, convey.ShouldEqual, c.want.CanLend)
 			})
 		})
 	}
 	convey.Convey("Without an overage nothing is lent ahead of need", t, func() {
 		strict := quota.Bound{Window: 8 * s}
-		convey.So(strict.Terms(limit, 3, 3).Lends, convey.ShouldBeFalse)
+		convey.So(strict.Terms(limit, 3, 3).CanLend, convey.ShouldBeFalse)
 		convey.So(strict.LoanLife(), convey.ShouldEqual, 0)
 		convey.So(bound.LoanLife(), convey.ShouldEqual, 800*time.Millisecond)
 	})
@@ -110,20 +110,20 @@
 	const life = 800 * time.Millisecond
 	convey.Convey("A purse is spent, expires, and takes back what was not used", t, func() {
 		p := quota.Purse{}.WithLent(0, 100, life)
-		p, lacks := p.WithSpent(life/2, 30)
+		p, lacks := p.WithCharge(life/2, 30)
 		convey.So(lacks, convey.ShouldEqual, 0)
-		p, lacks = p.WithSpent(life/2, 100)
+		p, lacks = p.WithCharge(life/2, 100)
 		convey.So(lacks, convey.ShouldEqual, 30)
 		p = p.WithReturned(life/2, 70)
-		convey.So(p.Left(life/2), convey.ShouldEqual, 70)
-		convey.So(p.Left(life), convey.ShouldEqual, 0)
-		convey.So(p.WithReturned(life, 70).Left(life), convey.ShouldEqual, 0)
-		_, lacks = p.WithSpent(life, 10)
+		convey.So(p.Balance(life/2), convey.ShouldEqual, 70)
+		convey.So(p.Balance(life), convey.ShouldEqual, 0)
+		convey.So(p.WithReturned(life, 70).Balance(life), convey.ShouldEqual, 0)
+		_, lacks = p.WithCharge(life, 10)
 		convey.So(lacks, convey.ShouldEqual, 10)
 	})
 	convey.Convey("A new loan does not revive an expired balance", t, func() {
 		p := quota.Purse{}.WithLent(0, 100, life).WithLent(2*life, 10, life)
-		convey.So(p.Left(2*life), convey.ShouldEqual, 10)
+		convey.So(p.Balance(2*life), convey.ShouldEqual, 10)
 	})
 	convey.Convey("A steady use asks ahead for about what it uses in one life", t, func() {
 		p := quota.Purse{}
--- a/state/rank/near_test.go
+++ b/state/rank/near_test.go
@@ -63,7 +63,7 @@
 	boxes := names("box-%d", 12)
 	zones := roundRobin(boxes, 6)
 	delete(zones, boxes[0])
-	ranked := rank.Of(boxes).In(zones, sixZones())
+	ranked := rank.Of(boxes).WithZones(zones, sixZones())
 	for _, name := range names("plain-%d", 20) {
 		key := rank.Key{Name: name, Region: "region-0"}
 		if order := ranked.Nearest(key, len(boxes)); slices.Index(order, boxes[0]) < 5 {
@@ -81,7 +81,7 @@
 	regions := sixZones()
 	boxes := names("box-%d", 60)
 	zones := roundRobin(boxes, 6)
-	ranked := rank.Of(boxes).In(zones, regions)
+	ranked := rank.Of(boxes).WithZones(zones, regions)
 	for _, key := range keysOf(regions, 20) {
 		order := ranked.Nearest(key, len(boxes))
 		got := ranked.StandIns(key, order[0], 2)
@@ -92,7 +92,7 @@
 		if last == key.Zone || regions.Region(last) != key.Region {
 			t.Fatalf("the last replacement for %+v is in %s", key, last)
 		}
-		one := rank.Of(boxes).In(zones, locality.Map{})
+		one := rank.Of(boxes).WithZones(zones, locality.Map{})
 		if in := one.StandIns(key, "", 3); !slices.Equal(in, one.First(key.Name, 3)) {
 			t.Fatalf("%v replace the home within one region, want the first in rank", in)
 		}
@@ -105,7 +105,7 @@
 func TestNearest(t *testing.T) {
 	regions := sixZones()
 	zones := map[string]string{"a": "zone-0", "b": "zone-0", "c": "zone-2", "d": "zone-1", "e": "zone-3", "f": "unknown"}
-	boxes := rank.Of([]string{"a", "b", "c", "d", "e", "f"}).In(zones, regions)
+	boxes := rank.Of([]string{"a", "b", "c", "d", "e", "f"}).WithZones(zones, regions)
 	cases := map[string]struct {
 		key rank.Key
 		// first lists the boxes that come before all others.
@@ -139,7 +139,7 @@
 	for i, name := range names("lm/zone#%d", 90) {
 		keys = append(keys, rank.Key{Name: name, Zone: fmt.Sprint("zone-", i%3), Region: "a"})
 	}
-	near := rank.Of(boxes).In(roundRobin(boxes, 3), one)
+	near := rank.Of(boxes).WithZones(roundRobin(boxes, 3), one)
 	want, got := rank.Of(boxes).Assign(names("lm/zone#%d", 90)), near.AssignNear(keys)
 	for _, key := range keys {
 		if got[key.Name] != want[key.Name] {
@@ -168,7 +168,7 @@
 			boxes = append(boxes, name)
 		}
 		keys := keysOf(regions, rapid.IntRange(0, 12).Draw(t, "keys"))
-		homes := rank.Of(boxes).In(zones, regions).AssignNear(keys)
+		homes := rank.Of(boxes).WithZones(zones, regions).AssignNear(keys)
 		keysIn, loads := make(map[string]int), make(map[string]int)
 		for _, key := range keys {
 			home, there := homes[key.Name]
@@ -191,7 +191,7 @@
 		}
 		reversed := slices.Clone(boxes)
 		slices.Reverse(reversed)
-		for key, home := range rank.Of(reversed).In(zones, regions).AssignNear(keys) {
+		for key, home := range rank.Of(reversed).WithZones(zones, regions).AssignNear(keys) {
 			if homes[key] != home {
 				t.Fatalf("key %s has home %s by one order of the boxes and %s by another", key, homes[key], home)
 			}
@@ -205,7 +205,7 @@
 	for i := range keys {
 		keys[i].Zone = ""
 	}
-	return rank.Of(boxes).In(zones, regions).AssignNear(keys)
+	return rank.Of(boxes).WithZones(zones, regions).AssignNear(keys)
 }
 
 // weighted assigns keys by rendezvous hashing with weights: 16 for a box of the zone, 4 for a
@@ -233,7 +233,7 @@
 }
 
 func nearest(keys []rank.Key, boxes []string, zones map[string]string, regions locality.Map) map[string]string {
-	return rank.Of(boxes).In(zones, regions).AssignNear(keys)
+	return rank.Of(boxes).WithZones(zones, regions).AssignNear(keys)
 }
 
 func byHash(keys []rank.Key, boxes []string, _ map[string]string, _ locality.Map) map[string]string {
--- a/state/rank/rank.go
+++ b/state/rank/rank.go
@@ -42,10 +42,10 @@
 	return b
 }
 
-// In returns the boxes with the zone of each box, by name. Zones only count if there are
+// WithZones returns the boxes with the zone of each box, by name. Zones only count if there are
 // several regions: within one region a message takes about a millisecond, and an order by hash
 // alone spreads duties best.
-func (b Boxes) In(zones map[string]string, regions locality.Map) Boxes {
+func (b Boxes) WithZones(zones map[string]string, regions locality.Map) Boxes {
 	if !regions.Several() {
 		return b
 	}
--- a/state/schedule/admit.go
+++ b/state/schedule/admit.go
@@ -64,7 +64,7 @@
 		PacedPrefill: gr.pacedPrefill,
 		PacedDecode:  gr.pacedDecode,
 		Limits:       g.limitsFor(t, gr),
-		Held:         time.Duration(gr.grantedAt - gr.askedAt),
+		QueueTime:    time.Duration(gr.grantedAt - gr.askedAt),
 	}
 }
 
@@ -207,7 +207,7 @@
 		g.reserveDecode(gr)
 		g.countPacedDecode(t, gr)
 		g.reserveLink(t, gr)
-		out = append(out, Slot{
+		out = append(out, DecodeAssignment{
 			Ask: gr.ask, Decode: g.engines[d].spec.Name, Move: g.transferTime(t, gr),
 			Paced: gr.pacedDecode, Limits: g.limitsFor(t, gr),
 		})
@@ -218,7 +218,7 @@
 
 func (g *Group) leastUtilizedDecode(t int64, gr *grant) int {
 	g.updateAvailability(t, gr.ask)
-	if g.cfg.Growing {
+	if g.cfg.GrowingMemory {
 		g.forecastMemory(t, gr.ask)
 	}
 	chosen, lowest := none, 0.0
--- a/state/schedule/baseline.go
+++ b/state/schedule/baseline.go
@@ -17,7 +17,7 @@
 	p := g.pickBaseline(func(v *EngineView) bool { return v.Prefill }, func(v *EngineView) int { return v.Queued })
 	d := g.pickBaseline(func(v *EngineView) bool { return v.Decode }, func(v *EngineView) int { return v.Held })
 	if d == none {
-		return []Decision{Refuse{Ask: a, Reason: lifecycle.ReasonNoEngine, RetryAfter: time.Second}}
+		return []Decision{Refusal{Ask: a, Reason: lifecycle.ReasonNoEngine, RetryAfter: time.Second}}
 	}
 	c := Choice{Mode: lifecycle.Move, Prefill: p, Decode: d}
 	if p == none {
--- a/state/schedule/configure.go
+++ b/state/schedule/configure.go
@@ -85,7 +85,7 @@
 		Recompute:           !g.cfg.Policy.NoRecompute,
 	}
 	for i, s := range specs {
-		g.engines[i] = engine{spec: s, pacedWindow: g.cfg.Paced[s.Name]}
+		g.engines[i] = engine{spec: s, pacedWindow: g.cfg.PacedWindows[s.Name]}
 		g.index[s.Name] = i
 		g.view.Engines[i] = EngineView{
 			Zone:     slices.Index(g.zones, s.Zone),
@@ -114,7 +114,7 @@
 	e, v := &g.engines[i], &g.view.Engines[i]
 	v.PrefillNS = e.prefillFactor.Value() * float64(time.Second) / max(e.spec.PrefillRate, 1)
 	v.StepBaseNS = e.stepFactor.Value() * float64(e.spec.StepBase)
-	v.StepPerNS = e.stepFactor.Value() * float64(e.spec.StepPer)
+	v.StepPerNS = e.stepFactor.Value() * float64(e.spec.StepPerRequest)
 	v.MaxHeld = g.batchCap(i) - slices.Min(e.unknownHeld[:])
 	if g.cfg.Cautious && e.reportCount == 0 {
 		v.MaxHeld /= 2
--- a/state/schedule/forecast.go
+++ b/state/schedule/forecast.go
@@ -46,7 +46,7 @@
 		if l.expectedOutput > 0 {
 			growth := forecastFractions[k] * usual
 			held += growth
-			goesOn = length.GoesOn(l.expectedOutput, l.generated, growth)
+			goesOn = length.ContinueProbability(l.expectedOutput, l.generated, growth)
 		}
 		f.noneFinished[k] += held
 		f.mean[k] += goesOn * held
--- a/state/schedule/forecast_test.go
+++ b/state/schedule/forecast_test.go
@@ -180,8 +180,8 @@
 		}
 		decisions := g.Ask(start, newAskOfSize(100, 1000, 1000))
 		convey.So(decisions, convey.ShouldHaveLength, 1)
-		refusal, refused := decisions[0].(Refuse)
+		refusal, refused := decisions[0].(Refusal)
 		convey.So(refused, convey.ShouldBeTrue)
-		convey.So(refusal.Seen.Wait, convey.ShouldBeGreaterThan, 500*time.Millisecond)
+		convey.So(refusal.Inputs.Wait, convey.ShouldBeGreaterThan, 500*time.Millisecond)
 	})
 }
--- a/state/schedule/group.go
+++ b/state/schedule/group.go
@@ -197,11 +197,11 @@
 	t := sinceStart(g.start, now)
 	g.noteLeaving(t, a.Leaving)
 	if w := g.findWaiter(a.ID); w != nil {
-		w.ask.Barred = a.Barred
+		w.ask.Excluded = a.Excluded
 		return []Decision{Queued{Ask: a}}
 	}
 	if len(g.engines) == 0 {
-		return []Decision{Refuse{Ask: a, Reason: lifecycle.ReasonNoEngine, RetryAfter: time.Second}}
+		return []Decision{Refusal{Ask: a, Reason: lifecycle.ReasonNoEngine, RetryAfter: time.Second}}
 	}
 	if !a.Resume {
 		g.budget = g.budget.WithRequest()
@@ -227,15 +227,15 @@
 	case i < 0:
 	case a.Spill:
 		g.remove(i)
-		out = append(out, Refuse{Ask: a, Reason: lifecycle.ReasonHopeless, RetryAfter: minRetryAfter, Seen: g.inputs(w, t, 0)})
+		out = append(out, Refusal{Ask: a, Reason: lifecycle.ReasonTargetUnreachable, RetryAfter: minRetryAfter, Inputs: g.inputs(w, t, 0)})
 	default:
 		out = append(out, Queued{Ask: a})
 	}
 	return out
 }
 
-// Old lists the attempts that were granted at least age ago, by box.
-func (g *Group) Old(now time.Time, age time.Duration) map[string][]lifecycle.AttemptID {
+// GrantedBefore lists the attempts that were granted at least age ago, by box.
+func (g *Group) GrantedBefore(now time.Time, age time.Duration) map[string][]lifecycle.AttemptID {
 	t := sinceStart(g.start, now)
 	out := make(map[string][]lifecycle.AttemptID)
 	for id, gr := range g.grants {
--- a/state/schedule/group_test.go
+++ b/state/schedule/group_test.go
@@ -28,7 +28,7 @@
 	for i := range prefill + decode {
 		e := EngineSpec{
 			Name: fmt.Sprintf("e%d", i), Zone: fmt.Sprintf("z%d", i%3), Prefill: i < prefill, Decode: i >= prefill,
-			Slots: 8, KVTokens: 40_000, PrefillRate: 16_000, StepBase: 8 * time.Millisecond, StepPer: time.Millisecond,
+			Slots: 8, KVTokens: 40_000, PrefillRate: 16_000, StepBase: 8 * time.Millisecond, StepPerRequest: time.Millisecond,
 			KVBytesPerToken: 1 << 17,
 		}
 		out = append(out, e)
@@ -65,7 +65,7 @@
 			o.resolve(t, d.Ask.ID)
 			plan := d.Plan
 			o.granted[d.Ask.ID] = &plan
-		case Refuse:
+		case Refusal:
 			o.resolve(t, d.Ask.ID)
 			if d.RetryAfter <= 0 {
 				t.Fatalf("refused %v without a Retry-After time", d.Ask.ID)
@@ -74,7 +74,7 @@
 			if !o.pending[d.Ask.ID] {
 				t.Fatalf("%v is queued, but not pending", d.Ask.ID)
 			}
-		case Slot:
+		case DecodeAssignment:
 			plan := o.granted[d.Ask.ID]
 			if plan == nil || plan.Decode != "" {
 				t.Fatalf("slot for %v, which already has plan %+v", d.Ask.ID, plan)
@@ -132,7 +132,7 @@
 	case 4:
 		o.take(t, o.g.Tick(o.now))
 	case 5:
-		o.g.Report(Load{Engine: "e3", Held: rapid.IntRange(0, 9).Draw(t, "held")})
+		o.g.Report(LoadReport{Engine: "e3", Held: rapid.IntRange(0, 9).Draw(t, "held")})
 	}
 }
 
@@ -202,7 +202,7 @@
 		"caller's deadline cannot be met":    {change: func(_ *Config, a *Ask) { a.Deadline = time.Millisecond }, want: "target_cannot_be_met"},
 		"resume despite missed deadline":     {change: func(_ *Config, a *Ask) { a.Deadline, a.Resume = time.Millisecond, true }, want: "move"},
 		"long prompt runs when idle":         {change: func(_ *Config, a *Ask) { a.PromptTokens = 30_000 }, want: "move"},
-		"kept result is not computed again":  {change: func(_ *Config, a *Ask) { a.Kept, a.Resume = "e0", true }, want: "reuse"},
+		"kept result is not computed again":  {change: func(_ *Config, a *Ask) { a.KeptBy, a.Resume = "e0", true }, want: "reuse"},
 		"leaving engines get no requests":    {change: func(c *Config, _ *Ask) { leave(c, "e2", "e3") }, want: "no_engine"},
 		"negative account limit is no limit": {change: func(c *Config, _ *Ask) { c.AccountLimit = func(string) int { return -1 } }, want: "move"},
 	}
@@ -234,7 +234,7 @@
 	switch d := d.(type) {
 	case Queued:
 		return "queue"
-	case Refuse:
+	case Refusal:
 		return string(d.Reason)
 	case Grant:
 		if d.Plan.Reuse {
@@ -317,7 +317,7 @@
 		}
 		out := 0
 		for i := 2; i < 8; i++ {
-			if g.engines[i].breaker.Out(start.Add(40 * time.Millisecond)) {
+			if g.engines[i].breaker.Ejected(start.Add(40 * time.Millisecond)) {
 				out++
 			}
 		}
--- a/state/schedule/late.go
+++ b/state/schedule/late.go
@@ -47,7 +47,7 @@
 		return false
 	}
 	g.updateAvailability(t, a)
-	if g.cfg.Growing {
+	if g.cfg.GrowingMemory {
 		g.forecastMemory(t, a)
 	}
 	tokens := a.PromptTokens + a.OutputTokens
--- a/state/schedule/late_test.go
+++ b/state/schedule/late_test.go
@@ -13,7 +13,7 @@
 // lateAsk returns a late request whose caller waits for three more seconds.
 func lateAsk(n uint64) Ask {
 	a := newAskOfSize(n, 1000, 1000)
-	a.Late, a.GiveUp, a.Waited = true, 3*time.Second, 4*time.Second
+	a.Late, a.RemainingPatience, a.Elapsed = true, 3*time.Second, 4*time.Second
 	return a
 }
 
@@ -27,7 +27,7 @@
 		switch d.(type) {
 		case Grant:
 			return "grant"
-		case Refuse:
+		case Refusal:
 			return "refuse"
 		case Queued:
 			return "queue"
@@ -68,7 +68,7 @@
 			now := start.Add(200 * time.Millisecond)
 			setRates(g, now, c.asks, c.releases)
 			a := lateAsk(100)
-			a.GiveUp = c.giveUp
+			a.RemainingPatience = c.giveUp
 			if got := kindOf(g.Ask(now, a), a); got != c.want {
 				t.Errorf("decision: %q, want %q", got, c.want)
 			}
@@ -87,7 +87,7 @@
 		// More late requests than are tried for one slot.
 		for n := range uint64(2 * maxPlacementTries) {
 			other := lateAsk(200 + n)
-			other.GiveUp += time.Duration(n) * time.Millisecond
+			other.RemainingPatience += time.Duration(n) * time.Millisecond
 			convey.So(kindOf(g.Ask(now, other), other), convey.ShouldEqual, "queue")
 		}
 		urgent.Priority, urgent.Deadline = -3, 4*time.Second
@@ -102,7 +102,7 @@
 		now := start.Add(50 * time.Millisecond)
 		setRates(g, now, 1, 50)
 		late := lateAsk(100)
-		late.GiveUp = 2 * time.Second
+		late.RemainingPatience = 2 * time.Second
 		convey.So(kindOf(g.Ask(now, late), late), convey.ShouldEqual, "queue")
 		convey.So(kindOf(g.Tick(now.Add(time.Second)), late), convey.ShouldBeEmpty)
 		convey.So(kindOf(g.Tick(now.Add(2*time.Second)), late), convey.ShouldEqual, "refuse")
@@ -164,7 +164,7 @@
 		t.Run(name, func(t *testing.T) {
 			g, now := plainGroup(c.taken)
 			a := plainAsk(5000)
-			a.Spill, a.Late, a.Waited, a.GiveUp = c.spill, c.late, c.waited, c.giveUp
+			a.Spill, a.Late, a.Elapsed, a.RemainingPatience = c.spill, c.late, c.waited, c.giveUp
 			if got := kindOf(g.Ask(now, a), a); got != c.want {
 				t.Errorf("decision: %q, want %q", got, c.want)
 			}
--- a/state/schedule/learn.go
+++ b/state/schedule/learn.go
@@ -71,7 +71,7 @@
 	if gr.decode != none {
 		g.releaseDecode(t, gr)
 	}
-	if r.Running && g.cfg.Growing && gr.decode != none {
+	if r.MayBeRunning && g.cfg.GrowingMemory && gr.decode != none {
 		g.unconfirmed = append(g.unconfirmed, gr)
 	}
 	g.learn(now, gr, r)
@@ -91,7 +91,7 @@
 	switch {
 	case r.Failed != "" && r.Full && g.resultLost(sinceStart(g.start, now), gr):
 		g.noteResultLost(now, gr)
-	case r.Failed != "" && r.Full && g.cfg.Growing:
+	case r.Failed != "" && r.Full && g.cfg.GrowingMemory:
 		g.noteFull(sinceStart(g.start, now), gr, r.Failed)
 	case r.Failed != "":
 		g.recordFailure(now, r)
@@ -114,11 +114,11 @@
 		// The batch changed while the request ran; its current size is as good an estimate of
 		// the mean as any.
 		batch := g.view.Engines[gr.decode].Held + 1
-		expected := e.spec.StepBase + e.spec.StepPer*time.Duration(batch)
+		expected := e.spec.StepBase + e.spec.StepPerRequest*time.Duration(batch)
 		e.stepFactor = e.stepFactor.With(expected*time.Duration(r.Steps), r.StepTime)
 		g.refresh(gr.decode)
 	}
-	if g.cfg.Growing && !gr.ask.Resume {
+	if g.cfg.GrowingMemory && !gr.ask.Resume {
 		g.lengths = g.lengths.With(gr.ask.OutputTokens, r.Steps)
 	}
 	g.learnLink(gr, r)
@@ -193,18 +193,18 @@
 			continue
 		}
 		total++
-		if g.engines[j].breaker.Out(now) {
+		if g.engines[j].breaker.Ejected(now) {
 			ejected++
 		}
 	}
 	rules := g.cfg.Health
-	if r.Unreached {
+	if r.Unreachable {
 		rules.Failures = 1
 	}
-	was := e.breaker.OutFor(now)
+	was := e.breaker.EjectedFor(now)
 	e.breaker = e.breaker.WithFailure(now, rules, health.Failure{Usual: usual, Others: ejected, Total: total + 1}, g.random)
-	if is := e.breaker.OutFor(now); is > was {
-		g.ejections = append(g.ejections, Ejection{Engine: name, For: is, Unreached: r.Unreached, OthersOut: ejected, Others: total})
+	if is := e.breaker.EjectedFor(now); is > was {
+		g.ejections = append(g.ejections, Ejection{Engine: name, For: is, Unreachable: r.Unreachable, OthersEjected: ejected, Others: total})
 	}
 	g.marks.Forget(name)
 }
@@ -219,7 +219,7 @@
 // Report handles an engine's load report. Reports lag, so a single one that shows more held
 // requests than were granted proves nothing. If several in a row do, the engine's maximum batch
 // is reduced by what it holds for others.
-func (g *Group) Report(l Load) {
+func (g *Group) Report(l LoadReport) {
 	i, ok := g.index[l.Engine]
 	if !ok {
 		return
--- a/state/schedule/leaving_test.go
+++ b/state/schedule/leaving_test.go
@@ -36,7 +36,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := New(config(1, 2), start)
 			first, second := newAsk(1, 100), newAsk(2, 100)
-			first.Barred, first.Leaving = slices.Concat(c.barred, c.leaving), c.leaving
+			first.Excluded, first.Leaving = slices.Concat(c.barred, c.leaving), c.leaving
 			if got := granted(g.Ask(start, first), first); got != c.reporter {
 				t.Errorf("reporting box is granted: %v, want %v", got, c.reporter)
 			}
@@ -100,7 +100,7 @@
 				}
 				refused := false
 				for _, d := range decisions {
-					r, ok := d.(Refuse)
+					r, ok := d.(Refusal)
 					refused = refused || ok && r.Ask.ID == waiting.ID && r.Reason == lifecycle.ReasonNoEngine
 				}
 				convey.So(refused, convey.ShouldEqual, c.refused)
--- a/state/schedule/limit.go
+++ b/state/schedule/limit.go
@@ -49,9 +49,9 @@
 	Age time.Duration
 }
 
-// NameLimits records what a box knows of engines' limits and returns the changes. Information
+// UpdateLimits records what a box knows of engines' limits and returns the changes. Information
 // that is older than what the group has is ignored.
-func (g *Group) NameLimits(now time.Time, limits []EngineLimit) []LimitChange {
+func (g *Group) UpdateLimits(now time.Time, limits []EngineLimit) []LimitChange {
 	t := sinceStart(g.start, now)
 	var out []LimitChange
 	for _, l := range limits {
--- a/state/schedule/limit_test.go
+++ b/state/schedule/limit_test.go
@@ -28,7 +28,7 @@
 	}
 	g := New(c, start)
 	for i := range limited {
-		g.NameLimits(start, limitNotice(c.Engines[i].Name, perSecond, 0))
+		g.UpdateLimits(start, limitNotice(c.Engines[i].Name, perSecond, 0))
 	}
 	return g
 }
@@ -115,12 +115,12 @@
 		t.Run(name, func(t *testing.T) {
 			g := limitedGroup(1, 0, 0, nil)
 			for _, n := range c.notices {
-				g.NameLimits(start.Add(n.at), limitNotice("e0", n.perSecond, n.age))
+				g.UpdateLimits(start.Add(n.at), limitNotice("e0", n.perSecond, n.age))
 			}
 			if got := g.engines[0].limit.Limit; got != c.want {
 				t.Errorf("limit %+v, want %+v", got, c.want)
 			}
-			changes := g.NameLimits(start.Add(time.Hour), limitNotice("e0", 7, 0))
+			changes := g.UpdateLimits(start.Add(time.Hour), limitNotice("e0", 7, 0))
 			if len(changes) != 1 || changes[0].Before != c.want || changes[0].After != pace.LimitOf(7) {
 				t.Errorf("changes %+v", changes)
 			}
@@ -137,8 +137,8 @@
 		t.Fatalf("first ask: got %+v, want one paced grant with a limit", got)
 	}
 	decisions := g.Ask(at.Add(500*time.Millisecond), newAsk(2, 1))
-	r, refused := decisions[0].(Refuse)
-	if !refused || r.Reason != lifecycle.ReasonHopeless || r.Seen.Paced != 1 || r.RetryAfter < 1500*time.Millisecond {
+	r, refused := decisions[0].(Refusal)
+	if !refused || r.Reason != lifecycle.ReasonTargetUnreachable || r.Inputs.Paced != 1 || r.RetryAfter < 1500*time.Millisecond {
 		t.Errorf("second ask: got %+v, want a refusal", decisions)
 	}
 }
@@ -157,12 +157,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := limitedGroup(2, 0, 0, nil)
-			g.NameLimits(start, limitNotice("e1", 3, 0))
-			g.NameLimits(start.Add(time.Second), limitNotice("e1", -1, 0))
+			g.UpdateLimits(start, limitNotice("e1", 3, 0))
+			g.UpdateLimits(start.Add(time.Second), limitNotice("e1", -1, 0))
 			a := newAsk(1, 1)
 			a.Avoid, a.Limits = []string{"e1"}, c.known
 			now := start.Add(2 * time.Second)
-			g.NameLimits(now, a.Limits)
+			g.UpdateLimits(now, a.Limits)
 			got := grantsOf(g.Ask(now, a))
 			if len(got) != 1 || len(got[0].Limits) != len(c.want) {
 				t.Fatalf("got %+v, want %+v", got, c.want)
--- a/state/schedule/memory_test.go
+++ b/state/schedule/memory_test.go
@@ -17,12 +17,12 @@
 // growingGroup returns a group of one prefill engine and some decode engines whose memory grows
 // with answers.
 func growingGroup(engines, memory int) *Group {
-	cfg := Config{Growing: true, Targets: Targets{FirstToken: 900 * time.Millisecond, PerToken: 4 * time.Millisecond}}
+	cfg := Config{GrowingMemory: true, Targets: Targets{FirstToken: 900 * time.Millisecond, PerToken: 4 * time.Millisecond}}
 	cfg.Engines = append(cfg.Engines, EngineSpec{Name: "p", Zone: "z", Prefill: true, Slots: 64, KVTokens: memory, PrefillRate: 40_000})
 	for i := range engines {
 		cfg.Engines = append(cfg.Engines, EngineSpec{
 			Name: string(rune('a' + i)), Zone: "z", Decode: true, Slots: 64, KVTokens: memory,
-			PrefillRate: 20_000, StepBase: time.Millisecond, StepPer: 20 * time.Microsecond,
+			PrefillRate: 20_000, StepBase: time.Millisecond, StepPerRequest: 20 * time.Microsecond,
 		})
 	}
 	return New(cfg, start)
@@ -72,7 +72,7 @@
 		convey.So(admitted(g, 4, start), convey.ShouldEqual, 4)
 		now := start.Add(50 * time.Millisecond)
 		for i := range uint64(4) {
-			g.Done(now, Report{ID: newAskOfSize(i, 0, 0).ID, Failed: "a", Running: true})
+			g.Done(now, Report{ID: newAskOfSize(i, 0, 0).ID, Failed: "a", MayBeRunning: true})
 		}
 		g.engines[1].breaker = g.engines[1].breaker.WithSuccess(0)
 		convey.So(grantsIn(g.Ask(now, newAskOfSize(10, 1000, 1000))), convey.ShouldEqual, 0)
@@ -105,13 +105,13 @@
 	convey.Convey("One refused connection ejects an engine, one failure does not", t, func() {
 		g := growingGroup(3, 100_000)
 		g.recordFailure(start, Report{Failed: "a"})
-		convey.So(g.engines[1].breaker.Out(start), convey.ShouldBeFalse)
-		g.recordFailure(start, Report{Failed: "b", Unreached: true})
-		convey.So(g.engines[2].breaker.Out(start), convey.ShouldBeTrue)
+		convey.So(g.engines[1].breaker.Ejected(start), convey.ShouldBeFalse)
+		g.recordFailure(start, Report{Failed: "b", Unreachable: true})
+		convey.So(g.engines[2].breaker.Ejected(start), convey.ShouldBeTrue)
 		ejections := g.Ejections()
 		convey.So(ejections, convey.ShouldHaveLength, 1)
 		convey.So(ejections[0].Engine, convey.ShouldEqual, "b")
-		convey.So(ejections[0].Unreached, convey.ShouldBeTrue)
+		convey.So(ejections[0].Unreachable, convey.ShouldBeTrue)
 		convey.So(ejections[0].For, convey.ShouldBeGreaterThan, 0)
 		convey.So(g.Ejections(), convey.ShouldBeEmpty)
 	})
@@ -124,7 +124,7 @@
 		convey.So(grantsIn(g.Ask(start, first)), convey.ShouldEqual, 1)
 		g.Prefilled(start, first.ID, 0, 0)
 		g.Done(start, Report{ID: first.ID, Failed: "a", Full: true})
-		convey.So(g.engines[1].breaker.Out(start), convey.ShouldBeFalse)
+		convey.So(g.engines[1].breaker.Ejected(start), convey.ShouldBeFalse)
 		convey.So(grantsIn(g.Ask(start.Add(200*time.Millisecond), newAskOfSize(1, 1200, 1000))), convey.ShouldEqual, 0)
 		later := start.Add(2 * time.Second)
 		convey.So(grantsIn(g.Ask(later, newAskOfSize(2, 1000, 1000))), convey.ShouldBeGreaterThan, 0)
@@ -304,7 +304,7 @@
 				g.Ask(start, first)
 				g.Prefilled(start, first.ID, 0, 0)
 				a := newAskOfSize(10, c.prompt, 100)
-				a.Spill, a.Travel = true, c.travel
+				a.Spill, a.RegionRoundTrip = true, c.travel
 				convey.So(kindOf(g.Ask(start, a), a), convey.ShouldEqual, c.want)
 			})
 		})
--- a/state/schedule/pace.go
+++ b/state/schedule/pace.go
@@ -268,7 +268,7 @@
 func (g *Group) pacedCapacityOf(t int64, e *engine) pacedCapacity {
 	p := pacedCapacity{limit: e.limit, rate: g.limitRate(t, e)}
 	if e.cold {
-		p.coldFree = e.pacedWindow.Free(time.Duration(t), g.coldGrantLimit(t))
+		p.coldFree = e.pacedWindow.FreeAt(time.Duration(t), g.coldGrantLimit(t))
 		slices.Sort(p.coldFree)
 	}
 	return p
@@ -279,7 +279,7 @@
 func (p pacedCapacity) nextFreeAt() int64 {
 	at := time.Duration(0)
 	if p.limit.Named {
-		at = p.limit.bucket.Free(p.taken, p.rate)
+		at = p.limit.bucket.FreeAt(p.taken, p.rate)
 	}
 	switch {
 	case p.coldFree == nil:
--- a/state/schedule/pace_test.go
+++ b/state/schedule/pace_test.go
@@ -19,7 +19,7 @@
 // coldConfig returns a configuration in which some engines are cold for a time after the start.
 func coldConfig(prefill, decode, limit int, coldFor time.Duration, cold func(i int) bool) Config {
 	c := config(prefill, decode)
-	c.Growing = true
+	c.GrowingMemory = true
 	c.ColdLimit = func(time.Time) int { return limit }
 	for i := range c.Engines {
 		if cold(i) {
@@ -75,7 +75,7 @@
 		t.Errorf("%d grants before the limit allows one", n)
 	}
 	second := grantsOf(g.Tick(at.Add(pace.Span)))
-	if len(second) != 1 || second[0].Held != pace.Span {
+	if len(second) != 1 || second[0].QueueTime != pace.Span {
 		t.Errorf("granted %+v when the limit allows one, want one held for %v", second, pace.Span)
 	}
 }
@@ -87,8 +87,8 @@
 	at := start.Add(time.Millisecond)
 	g.Ask(at, newAsk(1, 100))
 	for _, d := range g.Ask(at.Add(100*time.Millisecond), newAsk(2, 100)) {
-		r, refused := d.(Refuse)
-		if !refused || r.Reason != lifecycle.ReasonHopeless || r.Seen.Paced != 1 || r.RetryAfter < pace.Span-100*time.Millisecond {
+		r, refused := d.(Refusal)
+		if !refused || r.Reason != lifecycle.ReasonTargetUnreachable || r.Inputs.Paced != 1 || r.RetryAfter < pace.Span-100*time.Millisecond {
 			t.Errorf("got %+v, want a refusal", d)
 		}
 	}
@@ -114,7 +114,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			cfg := coldConfig(0, engines, c.limit, time.Minute, c.cold)
-			cfg.Growing, cfg.Plain, cfg.Targets.PerToken = false, true, time.Minute
+			cfg.GrowingMemory, cfg.Plain, cfg.Targets.PerToken = false, true, time.Minute
 			for i := range cfg.Engines {
 				cfg.Engines[i].PrefillRate = 1e12
 			}
@@ -247,11 +247,11 @@
 		take := func(now time.Time, decisions []Decision) {
 			for _, gr := range grantsOf(decisions) {
 				if gr.Plan.Prefill == "" {
-					arrivals = append(arrivals, arrival{gr.Plan.Decode, now.Add(within(pace.Lag))})
+					arrivals = append(arrivals, arrival{gr.Plan.Decode, now.Add(within(pace.MaxSendDelay))})
 					continue
 				}
-				arrivals = append(arrivals, arrival{gr.Plan.Prefill, now.Add(within(pace.Lag))})
-				open = append(open, running{gr, now.Add(within(pace.OpenFor - pace.Lag))})
+				arrivals = append(arrivals, arrival{gr.Plan.Prefill, now.Add(within(pace.MaxSendDelay))})
+				open = append(open, running{gr, now.Add(within(pace.OpenTimeout - pace.MaxSendDelay))})
 			}
 		}
 		next := 0
@@ -266,7 +266,7 @@
 					return false
 				}
 				id := r.grant.Ask.ID
-				arrivals = append(arrivals, arrival{r.grant.Plan.Decode, now.Add(within(pace.Lag))})
+				arrivals = append(arrivals, arrival{r.grant.Plan.Decode, now.Add(within(pace.MaxSendDelay))})
 				switch random.IntN(8) {
 				case 0:
 					// The box has another home by now, or is considered dead, but still sends
--- a/state/schedule/queue.go
+++ b/state/schedule/queue.go
@@ -21,12 +21,12 @@
 
 // newWaiter returns a waiter with the deadline of an ask and its time on an idle group.
 func (g *Group) newWaiter(a Ask, t int64) *waiter {
-	w := &waiter{ask: a, askedAt: t, arrivedAt: t - int64(a.Waited), idleNS: g.idleNS(a), late: a.Late}
+	w := &waiter{ask: a, askedAt: t, arrivedAt: t - int64(a.Elapsed), idleNS: g.idleNS(a), late: a.Late}
 	if g.cfg.Plain {
 		w.idleNS = int64(g.serviceNS)
 	}
 	if a.Late {
-		w.deadline = t + int64(a.GiveUp) - messageTime(a)
+		w.deadline = t + int64(a.RemainingPatience) - messageTime(a)
 		return w
 	}
 	targets := g.cfg.Targets
@@ -48,7 +48,7 @@
 const remoteRoundTrips = 2
 
 // messageTime returns the time that messages of a request from another region take.
-func messageTime(a Ask) int64 { return remoteRoundTrips * int64(a.Travel) }
+func messageTime(a Ask) int64 { return remoteRoundTrips * int64(a.RegionRoundTrip) }
 
 // remoteReserveShare is the share of an engine's memory that requests from other regions must
 // leave free. Their decode starts some tens of milliseconds after the grant, and if the engine
@@ -58,7 +58,7 @@
 // remoteReserve returns the memory that an ask must leave free in addition to its own, in
 // tokens.
 func (g *Group) remoteReserve(a Ask) int {
-	if a.Travel <= 0 || !g.cfg.Growing {
+	if a.RegionRoundTrip <= 0 || !g.cfg.GrowingMemory {
 		return 0
 	}
 	largest := 0
@@ -148,7 +148,7 @@
 	g.updateAvailability(t, a)
 	g.updateZoneCosts(t)
 	g.chooseSlotTiming(t, w.idleNS)
-	if g.cfg.Growing {
+	if g.cfg.GrowingMemory {
 		g.forecastMemory(t, a)
 	}
 	need := Need{
@@ -156,7 +156,7 @@
 		KVTokens:     a.PromptTokens + a.OutputTokens + g.remoteReserve(a),
 		RemainingNS:  float64(w.deadline - t),
 	}
-	if i, ok := g.index[a.Kept]; ok && a.Kept != "" {
+	if i, ok := g.index[a.KeptBy]; ok && a.KeptBy != "" {
 		return PlaceKept(&g.view, t, need, i)
 	}
 	return Place(&g.view, t, need)
@@ -188,7 +188,7 @@
 	}
 	free, all := g.slots()
 	available := free - len(g.awaitingDecode)
-	v.DeferDecode = !g.cfg.Growing && float64(available) <= scarceShare*float64(all)
+	v.DeferDecode = !g.cfg.GrowingMemory && float64(available) <= scarceShare*float64(all)
 	window := float64(idle + int64(maxSlotWait))
 	expected := g.releaseRate(t) * window * (1 - g.cfg.Targets.WasteWeight)
 	v.MayDefer = float64(available)+expected >= 1
@@ -210,8 +210,8 @@
 	defer g.excludePaced(t)
 	for i := range g.engines {
 		e, v := &g.engines[i], &g.view.Engines[i]
-		excluded := e.isLeaving(t) || e.breaker.Out(now) || t < e.fullUntil || t < e.changingUntil || a.excludes(e.spec.Name)
-		v.Prefill = e.spec.Prefill && !excluded && !e.resultBreaker.Out(now)
+		excluded := e.isLeaving(t) || e.breaker.Ejected(now) || t < e.fullUntil || t < e.changingUntil || a.excludes(e.spec.Name)
+		v.Prefill = e.spec.Prefill && !excluded && !e.resultBreaker.Ejected(now)
 		v.Decode = e.spec.Decode && !excluded
 		if v.Queued > 0 && v.FreeAt < t {
 			v.FreeAt = t + int64(overduePrefillRemaining)
--- a/state/schedule/refuse.go
+++ b/state/schedule/refuse.go
@@ -11,20 +11,20 @@
 )
 
 // refuseEarly refuses a new request at once if it would be refused later anyway.
-func (g *Group) refuseEarly(w *waiter, t int64) (Refuse, bool) {
+func (g *Group) refuseEarly(w *waiter, t int64) (Refusal, bool) {
 	g.updatePacing(t, w.ask)
-	refuse := func(reason lifecycle.Reason, after, wait int64) (Refuse, bool) {
+	refuse := func(reason lifecycle.Reason, after, wait int64) (Refusal, bool) {
 		retry := max(time.Duration(after), minRetryAfter)
-		if reason == lifecycle.ReasonHopeless && !w.ask.Spill && !w.late {
+		if reason == lifecycle.ReasonTargetUnreachable && !w.ask.Spill && !w.late {
 			retry = g.scheduleRetry(t, retry, w.ask.Patience)
 		}
-		return Refuse{Ask: w.ask, Reason: reason, RetryAfter: retry, Seen: g.inputs(w, t, wait)}, true
+		return Refusal{Ask: w.ask, Reason: reason, RetryAfter: retry, Inputs: g.inputs(w, t, wait)}, true
 	}
 	if !g.canDecode(t, w.ask) {
 		return refuse(lifecycle.ReasonNoEngine, int64(noEngineRetry), g.waitNS(w, t))
 	}
 	if w.ask.Resume {
-		return Refuse{}, false
+		return Refusal{}, false
 	}
 	limit := 0
 	if g.cfg.AccountLimit != nil {
@@ -38,18 +38,18 @@
 		return refuse(lifecycle.ReasonQueueFull, wait, wait)
 	}
 	if g.cfg.Policy.NoEarlyRefusal {
-		return Refuse{}, false
+		return Refusal{}, false
 	}
 	if w.late {
 		if wait, fits := g.lateWaitNS(w, t); !fits {
-			return refuse(lifecycle.ReasonHopeless, wait, wait)
+			return refuse(lifecycle.ReasonTargetUnreachable, wait, wait)
 		}
-		return Refuse{}, false
+		return Refusal{}, false
 	}
 	if wait := g.waitNS(w, t); t+wait+w.idleNS > w.deadline && !g.startsInTime(w, t) {
-		return refuse(lifecycle.ReasonHopeless, wait, wait)
+		return refuse(lifecycle.ReasonTargetUnreachable, wait, wait)
 	}
-	return Refuse{}, false
+	return Refusal{}, false
 }
 
 // startsInTime reports whether a new waiter is first in order, would start now and would meet
@@ -68,14 +68,14 @@
 func (g *Group) inputs(w *waiter, t, wait int64) Inputs {
 	free, _ := g.slots()
 	return Inputs{
-		Waiting:   len(g.waiting),
-		Granted:   len(g.grants),
-		FreeSlots: free,
-		Idle:      time.Duration(w.idleNS),
-		Wait:      time.Duration(wait),
-		Left:      time.Duration(w.deadline - t),
-		Paced:     g.pacedCount(),
-		Limited:   g.limitedCount(),
+		Waiting:     len(g.waiting),
+		Granted:     len(g.grants),
+		FreeSlots:   free,
+		IdleLatency: time.Duration(w.idleNS),
+		Wait:        time.Duration(wait),
+		Remaining:   time.Duration(w.deadline - t),
+		Paced:       g.pacedCount(),
+		Limited:     g.limitedCount(),
 	}
 }
 
@@ -127,7 +127,7 @@
 			continue
 		}
 		g.remove(i)
-		out = append(out, Refuse{Ask: w.ask, Reason: lifecycle.ReasonNoEngine, RetryAfter: noEngineRetry, Seen: g.inputs(w, t, 0)})
+		out = append(out, Refusal{Ask: w.ask, Reason: lifecycle.ReasonNoEngine, RetryAfter: noEngineRetry, Inputs: g.inputs(w, t, 0)})
 	}
 	return out
 }
@@ -167,7 +167,7 @@
 		}
 	}
 	prefill := prefillBacklog / float64(max(engines, 1))
-	if g.cfg.Growing {
+	if g.cfg.GrowingMemory {
 		// Those before it get the memory that is released first.
 		queueWait := float64(before) / max(g.releaseRate(t), minReleaseRate)
 		if memory := g.memoryWaitNS(t, w.ask); memory > 0 {
@@ -206,11 +206,11 @@
 		g.remove(i)
 		wait := g.waitNS(w, t)
 		if w.late {
-			out = append(out, Refuse{Ask: w.ask, Reason: lifecycle.ReasonHopeless, RetryAfter: max(time.Duration(wait), minRetryAfter), Seen: g.inputs(w, t, wait)})
+			out = append(out, Refusal{Ask: w.ask, Reason: lifecycle.ReasonTargetUnreachable, RetryAfter: max(time.Duration(wait), minRetryAfter), Inputs: g.inputs(w, t, wait)})
 			continue
 		}
 		retry := g.scheduleRetry(t, max(time.Duration(wait), minRetryAfter), w.ask.Patience)
-		out = append(out, Refuse{Ask: w.ask, Reason: lifecycle.ReasonHopeless, RetryAfter: retry, Seen: g.inputs(w, t, wait)})
+		out = append(out, Refusal{Ask: w.ask, Reason: lifecycle.ReasonTargetUnreachable, RetryAfter: retry, Inputs: g.inputs(w, t, wait)})
 	}
 	return out
 }
--- a/state/schedule/refuse_test.go
+++ b/state/schedule/refuse_test.go
@@ -20,7 +20,7 @@
 	}{
 		"idle decode engines":    {want: "recompute"},
 		"spilled request":        {spill: true, want: "recompute"},
-		"no free decode slot":    {held: 8, want: string(lifecycle.ReasonHopeless)},
+		"no free decode slot":    {held: 8, want: string(lifecycle.ReasonTargetUnreachable)},
 		"leaving decode engines": {leave: true, want: string(lifecycle.ReasonNoEngine)},
 	}
 	for name, c := range cases {
@@ -50,7 +50,7 @@
 	longest := time.Duration(0)
 	for n := range 1000 {
 		for _, d := range g.Ask(start.Add(time.Millisecond), newAsk(n, 1)) {
-			if r, refused := d.(Refuse); refused {
+			if r, refused := d.(Refusal); refused {
 				longest = max(longest, r.RetryAfter)
 			}
 		}
--- a/state/schedule/result_test.go
+++ b/state/schedule/result_test.go
@@ -26,7 +26,7 @@
 // engine reject it as full. It returns the engines of the plan.
 func rejectDecode(g *Group, at time.Time, n uint64, attempt uint32, kept string, avoid ...string) (prefill, decode string) {
 	a := newAskOfSize(n, 1000, 100)
-	a.ID.Number, a.Kept, a.Resume, a.Avoid = attempt, kept, kept != "", avoid
+	a.ID.Number, a.KeptBy, a.Resume, a.Avoid = attempt, kept, kept != "", avoid
 	for _, d := range g.Ask(at, a) {
 		if gr, ok := d.(Grant); ok {
 			prefill, decode = gr.Plan.Prefill, gr.Plan.Decode
@@ -80,12 +80,12 @@
 		convey.So(decode, convey.ShouldNotBeEmpty)
 		later = start.Add(2 * time.Second)
 		p := &g.engines[g.index["p"]]
-		convey.So(p.resultBreaker.Out(later), convey.ShouldBeFalse)
+		convey.So(p.resultBreaker.Ejected(later), convey.ShouldBeFalse)
 		// The engine is a suspect: one more lost result is enough.
 		a := newAskOfSize(11, 1000, 100)
 		g.grants[a.ID] = &grant{ask: a, prefill: g.index["p"], decode: g.index["a"], prefilled: true}
 		g.Done(later, Report{ID: a.ID, Failed: "a", Full: true})
-		convey.So(p.resultBreaker.Out(later), convey.ShouldBeTrue)
+		convey.So(p.resultBreaker.Ejected(later), convey.ShouldBeTrue)
 	})
 	convey.Convey("An engine whose result was used is no longer a suspect", t, func() {
 		g := resultGroup()
--- a/state/schedule/stage.go
+++ b/state/schedule/stage.go
@@ -12,7 +12,7 @@
 
 // addPromptWork adds the prefill work of a new request.
 func (g *Group) addPromptWork(a Ask, t int64) {
-	if !g.cfg.Growing || a.Resume || a.Spill {
+	if !g.cfg.GrowingMemory || a.Resume || a.Spill {
 		return
 	}
 	g.promptWork.Add(time.Duration(t), float64(a.PromptTokens)*g.tokenNS()/float64(time.Second))
@@ -54,7 +54,7 @@
 			Name:     e.spec.Name,
 			Prefill:  e.spec.Prefill != changing,
 			Changing: changing,
-			Ready:    !changing && !e.breaker.Out(now),
+			Ready:    !changing && !e.breaker.Ejected(now),
 			TokenNS:  g.view.Engines[i].PrefillNS,
 		})
 	}
@@ -128,16 +128,16 @@
 	return 1 - float64(free)/float64(all)
 }
 
-// Change records that an engine was ordered to change its stage: it gets no requests until it
-// has, or until the given time has passed.
-func (g *Group) Change(now time.Time, engine string, lasts time.Duration) {
+// BeginStageChange records that an engine was ordered to change its stage: it gets no requests
+// until it has, or until the given time has passed.
+func (g *Group) BeginStageChange(now time.Time, engine string, lasts time.Duration) {
 	if i, ok := g.index[engine]; ok {
 		g.engines[i].changingUntil = sinceStart(g.start, now) + int64(lasts)
 	}
 }
 
-// Unchanged records that an engine will not change its stage after all.
-func (g *Group) Unchanged(engine string) {
+// CancelStageChange records that an engine will not change its stage after all.
+func (g *Group) CancelStageChange(engine string) {
 	if i, ok := g.index[engine]; ok {
 		g.engines[i].changingUntil = 0
 	}
--- a/state/schedule/stage_test.go
+++ b/state/schedule/stage_test.go
@@ -16,11 +16,11 @@
 
 // stageConfig returns a configuration in which the first engines prefill and the others decode.
 func stageConfig(prefills, engines int) Config {
-	cfg := Config{Targets: Targets{FirstToken: time.Second, PerToken: 50 * time.Millisecond}, Growing: true}
+	cfg := Config{Targets: Targets{FirstToken: time.Second, PerToken: 50 * time.Millisecond}, GrowingMemory: true}
 	for i := range engines {
 		cfg.Engines = append(cfg.Engines, EngineSpec{
 			Name: fmt.Sprint("e", i), Zone: "z", Prefill: i < prefills, Decode: i >= prefills, Slots: 16, KVTokens: 40_000,
-			PrefillRate: 30_000, StepBase: 10 * time.Millisecond, StepPer: 20 * time.Microsecond,
+			PrefillRate: 30_000, StepBase: 10 * time.Millisecond, StepPerRequest: 20 * time.Microsecond,
 		})
 	}
 	return cfg
@@ -53,7 +53,7 @@
 		p := stages.Make(engines, load, stages.Config{})
 		convey.So(p.ToDecode, convey.ShouldHaveLength, 2)
 		for _, name := range p.ToDecode {
-			g.Change(now, name, time.Minute)
+			g.BeginStageChange(now, name, time.Minute)
 		}
 		engines, load = g.Stages(now)
 		convey.So(stages.Make(engines, load, stages.Config{}).None(), convey.ShouldBeTrue)
@@ -94,7 +94,7 @@
 			convey.So(stages.Make(engines, load, stages.Config{}).ToPrefill, convey.ShouldHaveLength, 1)
 		})
 		convey.Convey("An engine whose change is cancelled is ready again", func() {
-			g.Unchanged(p.ToDecode[1])
+			g.CancelStageChange(p.ToDecode[1])
 			engines, _ := g.Stages(now)
 			for _, e := range engines {
 				if e.Name == p.ToDecode[1] {
--- a/state/schedule/types.go
+++ b/state/schedule/types.go
@@ -63,8 +63,9 @@
 	KVTokens int
 	// PrefillRate is in tokens per second.
 	PrefillRate float64
-	// StepBase and StepPer give the time of a decode step: base plus per request in the batch.
-	StepBase, StepPer time.Duration
+	// StepBase and StepPerRequest give the time of a decode step: base plus per request in the
+	// batch.
+	StepBase, StepPerRequest time.Duration
 	// KVBytesPerToken is the number of bytes transferred for the KV cache of one token.
 	KVBytesPerToken int
 	Leaving         bool
@@ -105,10 +106,10 @@
 	Health      health.Config
 	// Seed seeds the random jitter, so that runs are repeatable.
 	Seed uint64
-	// Growing is true if the memory of a request grows with its answer, whose length can only
+	// GrowingMemory is true if the memory of a request grows with its answer, whose length can only
 	// be estimated, and an engine that runs out of memory puts requests back. Otherwise an
 	// engine reserves all memory of a request when it starts.
-	Growing bool
+	GrowingMemory bool
 	// Plain is true if requests have no prompt and no tokens: each holds a slot for a time that
 	// is learned, and its target covers the whole answer.
 	Plain bool
@@ -118,8 +119,8 @@
 	// LimitShare returns the share, 0 to 1, that this group may grant of the limits that
 	// engines announce; nil means all.
 	LimitShare func(now time.Time) float64
-	// Paced has what groups of this home granted to cold engines recently, by engine name.
-	Paced map[string]pace.Window
+	// PacedWindows has what groups of this home granted to cold engines recently, by engine name.
+	PacedWindows map[string]pace.Window
 	// Cautious is set for a group that takes over from a home whose grants are unknown: an
 	// engine gets at most half its maximum batch until its first load report.
 	Cautious bool
@@ -141,8 +142,8 @@
 	// shortest first.
 	Marks      []uint64
 	MarkTokens []int
-	// Waited is the time since the request arrived, when this ask was sent.
-	Waited time.Duration
+	// Elapsed is the time since the request arrived, when this ask was sent.
+	Elapsed time.Duration
 	// Deadline is the caller's own limit for the first token, counted from the arrival of the
 	// request; 0 means the service's target.
 	Deadline time.Duration
@@ -151,11 +152,11 @@
 	Resume bool
 	// Avoid names engines on which this request just failed.
 	Avoid []string
-	// Barred names engines to which the asking box must not send any request for now. Leaving
+	// Excluded names engines to which the asking box must not send any request for now. Leaving
 	// names those of them that have announced to it that they are leaving.
-	Barred, Leaving []string
-	// Kept is the engine that keeps the request's prefill result; empty if there is none.
-	Kept string
+	Excluded, Leaving []string
+	// KeptBy is the engine that keeps the request's prefill result; empty if there is none.
+	KeptBy string
 	// Patience is the longest Retry-After time that the caller accepts if it is refused; 0
 	// means unknown.
 	Patience time.Duration
@@ -166,18 +167,18 @@
 	// capacity that requests in time leave free, and is refused at once if that will not be
 	// enough.
 	Late bool
-	// GiveUp is how much longer the caller of a late request waits for the first token.
-	GiveUp time.Duration
-	// Travel is the round-trip time between the asking box and the region of the group, if that
-	// is another region; 0 means the same region.
-	Travel time.Duration
+	// RemainingPatience is how much longer the caller of a late request waits for the first token.
+	RemainingPatience time.Duration
+	// RegionRoundTrip is the round-trip time between the asking box and the region of the group,
+	// if that is another region; 0 means the same region.
+	RegionRoundTrip time.Duration
 	// Limits are the limits of engines of this group that the asking box knows of.
 	Limits []EngineLimit
 }
 
 // excludes reports whether the engine must not be chosen for the ask.
 func (a Ask) excludes(engine string) bool {
-	return slices.Contains(a.Avoid, engine) || slices.Contains(a.Barred, engine)
+	return slices.Contains(a.Avoid, engine) || slices.Contains(a.Excluded, engine)
 }
 
 // EngineLimit is a limit that an engine announced.
@@ -188,7 +189,7 @@
 	Age time.Duration
 }
 
-// Decision is the group's answer to an ask: a Grant, Refuse, Slot or Queued.
+// Decision is the group's answer to an ask: a Grant, Refusal, DecodeAssignment or Queued.
 type Decision interface{ decision() }
 
 // Grant admits a request with a plan.
@@ -206,17 +207,17 @@
 	// Limits are the limits of the plan's engines, and those for which the group has newer
 	// information than the ask.
 	Limits []EngineLimit
-	// Held is the time from the ask to the grant.
-	Held time.Duration
+	// QueueTime is the time from the ask to the grant.
+	QueueTime time.Duration
 }
 
-// Refuse rejects a request of which nothing ran.
-type Refuse struct {
+// Refusal rejects a request of which nothing ran.
+type Refusal struct {
 	Ask        Ask
 	Reason     lifecycle.Reason
 	RetryAfter time.Duration
-	// Seen has the figures on which the refusal is based.
-	Seen Inputs
+	// Inputs has the figures on which the refusal is based.
+	Inputs Inputs
 }
 
 // Inputs are the figures behind a refusal, for the log.
@@ -225,18 +226,18 @@
 	Waiting, Granted int
 	// FreeSlots is the number of free decode slots.
 	FreeSlots int
-	// Idle is the time to the first token on an idle group, and Wait the expected wait before
-	// the prefill begins.
-	Idle, Wait time.Duration
-	// Left is the time remaining until the deadline.
-	Left time.Duration
+	// IdleLatency is the time to the first token on an idle group, and Wait the expected wait
+	// before the prefill begins.
+	IdleLatency, Wait time.Duration
+	// Remaining is the time remaining until the deadline.
+	Remaining time.Duration
 	// Paced is the number of engines left out because they have reached their limit, either as
 	// cold engines or the limit that they announce. Limited counts only the latter.
 	Paced, Limited int
 }
 
-// Slot assigns the decode engine of a grant that was made without one.
-type Slot struct {
+// DecodeAssignment assigns the decode engine of a grant that was made without one.
+type DecodeAssignment struct {
 	Ask    Ask
 	Decode string
 	// Move is the estimated time of the transfer.
@@ -247,7 +248,7 @@
 	Limits []EngineLimit
 }
 
-// Queued reports that the request waits; a Grant or Refuse follows.
+// Queued reports that the request waits; a Grant or Refusal follows.
 type Queued struct {
 	Ask Ask
 }
@@ -257,9 +258,9 @@
 	switch d := d.(type) {
 	case Grant:
 		return d.Ask
-	case Refuse:
+	case Refusal:
 		return d.Ask
-	case Slot:
+	case DecodeAssignment:
 		return d.Ask
 	case Queued:
 		return d.Ask
@@ -268,10 +269,10 @@
 	}
 }
 
-func (Queued) decision() {}
-func (Grant) decision()  {}
-func (Refuse) decision() {}
-func (Slot) decision()   {}
+func (Queued) decision()           {}
+func (Grant) decision()            {}
+func (Refusal) decision()          {}
+func (DecodeAssignment) decision() {}
 
 // Adopted is a grant of an earlier home, as reported by the box that runs it.
 type Adopted struct {
@@ -286,13 +287,13 @@
 	Finished bool
 	// Failed is the engine that failed, or empty.
 	Failed string
-	// Running is true if the failed engine may still be working on the attempt: its answer was
+	// MayBeRunning is true if the failed engine may still be working on the attempt: its answer was
 	// lost or its connection broke.
-	Running bool
+	MayBeRunning bool
 	// Full is true if the failed engine rejected the attempt for lack of capacity.
 	Full bool
-	// Unreached is true if no connection to the failed engine could be made.
-	Unreached bool
+	// Unreachable is true if no connection to the failed engine could be made.
+	Unreachable bool
 	// Answered is true if the failed engine answered with an error of its own.
 	Answered bool
 	// Steps is the number of gaps between tokens, and StepTime their sum.
@@ -306,16 +307,16 @@
 type Ejection struct {
 	Engine string
 	For    time.Duration
-	// Unreached is true if no connection to the engine could be made.
-	Unreached bool
+	// Unreachable is true if no connection to the engine could be made.
+	Unreachable bool
 	// ResultsLost is true if the engine only gets no prefills, because its results were lost.
 	ResultsLost bool
-	// OthersOut is how many of the Others, the other engines of its role, were ejected already.
-	OthersOut, Others int
+	// OthersEjected is how many of the Others, the other engines of its role, were ejected already.
+	OthersEjected, Others int
 }
 
-// Load is an engine's own report of its load; it arrives with a delay.
-type Load struct {
+// LoadReport is an engine's own report of its load; it arrives with a delay.
+type LoadReport struct {
 	Engine string
 	// Held is the number of decode slots in use.
 	Held int
--- a/state/spread/spread.go
+++ b/state/spread/spread.go
@@ -69,9 +69,9 @@
 	return f.orders.Of(key, func() []string { return f.near.Order(key) })
 }
 
-// Heads returns the first box of each other region in rank order for a key, which receives
+// RegionEntries returns the first box of each other region in rank order for a key, which receives
 // updates for its region.
-func (f Fleet) Heads(key string) []string {
+func (f Fleet) RegionEntries(key string) []string {
 	out := make([]string, 0, len(f.far))
 	for _, boxes := range f.far {
 		out = append(out, boxes.First(key, 1)...)
@@ -93,8 +93,8 @@
 	})
 }
 
-// Draw orders boxes for a tree with the tree function, or by rank alone if that is nil.
-func Draw(tree func(key, origin string) []string, ranked func(key string) []string, key, origin string) []string {
+// TreeOrder orders boxes for a tree with the tree function, or by rank alone if that is nil.
+func TreeOrder(tree func(key, origin string) []string, ranked func(key string) []string, key, origin string) []string {
 	if tree == nil {
 		return Rooted(ranked(key), origin)
 	}
@@ -147,8 +147,8 @@
 	ZonesSince = 1
 )
 
-// Below lists the children of a box in the tree that an order describes.
-func Below(order []string, box string) []string {
+// Children lists the children of a box in the tree that an order describes.
+func Children(order []string, box string) []string {
 	at := slices.Index(order, box)
 	if at < 0 {
 		return nil
@@ -157,8 +157,8 @@
 	return order[first:min(first+Fanout, len(order))]
 }
 
-// Above lists the ancestors of a box in that tree, the nearest first; none for the root.
-func Above(order []string, box string) []string {
+// Ancestors lists the ancestors of a box in that tree, the nearest first; none for the root.
+func Ancestors(order []string, box string) []string {
 	var out []string
 	for at := slices.Index(order, box); at > 0; {
 		at = (at - 1) / Fanout
--- a/state/spread/spread_test.go
+++ b/state/spread/spread_test.go
@@ -64,13 +64,13 @@
 			got[to]++
 			queue = append(queue, to)
 		}
-		for _, head := range d.fleets[origin].Heads(key) {
+		for _, head := range d.fleets[origin].RegionEntries(key) {
 			send(origin, head)
 		}
 		for len(queue) > 0 {
 			box := queue[0]
 			queue = queue[1:]
-			children := Below(d.fleets[box].Tree(key, origin), box)
+			children := Children(d.fleets[box].Tree(key, origin), box)
 			if len(children) > Fanout {
 				t.Fatalf("%s forwards to %d boxes, want at most %d", box, len(children), Fanout)
 			}
@@ -97,8 +97,8 @@
 		for name, f := range d.fleets {
 			order := f.Near("list")
 			child := name
-			for _, parent := range Above(order, name) {
-				if !slices.Contains(Below(order, parent), child) || d.region(parent) != d.region(name) {
+			for _, parent := range Ancestors(order, name) {
+				if !slices.Contains(Children(order, parent), child) || d.region(parent) != d.region(name) {
 					t.Fatalf("%s is no child of %s in its region", child, parent)
 				}
 				child = parent
@@ -122,7 +122,7 @@
 		if got := f.Near("k"); fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%s: order %v, want that of all boxes %v", name, got, want)
 		}
-		if heads := f.Heads("k"); len(heads) > 0 {
+		if heads := f.RegionEntries("k"); len(heads) > 0 {
 			t.Errorf("%s: other regions' boxes %v", name, heads)
 		}
 	}
@@ -131,7 +131,7 @@
 func TestNextBoxReplacesHead(t *testing.T) {
 	regions := locality.New(map[string]string{"1": "r", "2": "s"})
 	boxes := []member.Box{{Name: "a", Zone: "1"}, {Name: "b", Zone: "2"}, {Name: "c", Zone: "2"}, {Name: "d", Zone: "2"}}
-	before := New(boxes[0], boxes, regions).Heads("k")
+	before := New(boxes[0], boxes, regions).RegionEntries("k")
 	if len(before) != 1 {
 		t.Fatalf("heads %v, want one", before)
 	}
@@ -141,7 +141,7 @@
 			remaining = append(remaining, b)
 		}
 	}
-	after := New(boxes[0], remaining, regions).Heads("k")
+	after := New(boxes[0], remaining, regions).RegionEntries("k")
 	if len(after) != 1 || after[0] == before[0] {
 		t.Errorf("heads %v after %v has left", after, before)
 	}
@@ -170,7 +170,7 @@
 					t.Fatalf("%d boxes: the tree of %d has the root %s, not %s", n, len(order), order[0], origin)
 				}
 				for _, box := range order {
-					for _, child := range Below(order, box) {
+					for _, child := range Children(order, box) {
 						if zone[box] != zone[child] {
 							count++
 						}
--- a/state/table/delta.go
+++ b/state/table/delta.go
@@ -19,22 +19,22 @@
 	BaseVersion uint64 `json:"base_version,omitempty"`
 	Version     uint64 `json:"version,omitempty"`
 
-	Zones     Part[Zone]     `json:"zones,omitzero"`
-	Services  Part[Service]  `json:"services,omitzero"`
-	Pools     Part[Pool]     `json:"pools,omitzero"`
-	Endpoints Part[Endpoint] `json:"endpoints,omitzero"`
-	Rows      Part[Row]      `json:"rows,omitzero"`
-	Links     Part[Link]     `json:"links,omitzero"`
-	Accounts  Part[Account]  `json:"accounts,omitzero"`
-	Routes    Part[Route]    `json:"routes,omitzero"`
+	Zones     ListDelta[Zone]     `json:"zones,omitzero"`
+	Services  ListDelta[Service]  `json:"services,omitzero"`
+	Pools     ListDelta[Pool]     `json:"pools,omitzero"`
+	Endpoints ListDelta[Endpoint] `json:"endpoints,omitzero"`
+	Rows      ListDelta[Row]      `json:"rows,omitzero"`
+	Links     ListDelta[Link]     `json:"links,omitzero"`
+	Accounts  ListDelta[Account]  `json:"accounts,omitzero"`
+	Routes    ListDelta[Route]    `json:"routes,omitzero"`
 	// Limits are the limits after the change.
 	Limits Limits `json:"limits,omitzero"`
 	// Whole, if not nil, is the whole table after the change; the lists are then empty.
 	Whole *Table `json:"whole,omitempty"`
 }
 
-// Part is the change of one of the table's lists.
-type Part[T any] struct {
+// ListDelta is the change of one of the table's lists.
+type ListDelta[T any] struct {
 	// Set holds the added and changed items.
 	Set []T `json:"set,omitempty"`
 	// Removed holds the keys of the removed items.
@@ -42,7 +42,7 @@
 }
 
 // IsZero reports whether nothing changed.
-func (p Part[T]) IsZero() bool {
+func (p ListDelta[T]) IsZero() bool {
 	return len(p.Set) == 0 && len(p.Removed) == 0
 }
 
@@ -88,8 +88,8 @@
 // Stamp returns the stamp of the table after the change.
 func (d Delta) Stamp() Stamp { return Stamp{Version: d.Version, Generation: d.Generation} }
 
-func diffLists[T listItem](from, to []T) Part[T] {
-	var p Part[T]
+func diffLists[T listItem](from, to []T) ListDelta[T] {
+	var p ListDelta[T]
 	before := make(map[string]T, len(from))
 	for _, item := range from {
 		before[item.key()] = item
@@ -135,7 +135,7 @@
 
 // patchList returns a list after a change. Items that stay keep their order, and new
 // ones are appended.
-func patchList[T listItem](items []T, p Part[T]) []T {
+func patchList[T listItem](items []T, p ListDelta[T]) []T {
 	if p.IsZero() {
 		return items
 	}
@@ -169,7 +169,7 @@
 	return append(out, changedNames("account", d.Accounts)...)
 }
 
-func changedNames[T listItem](kind string, p Part[T]) []string {
+func changedNames[T listItem](kind string, p ListDelta[T]) []string {
 	var out []string
 	for _, item := range p.Set {
 		out = append(out, kind+" "+item.key())
--- a/state/table/group.go
+++ b/state/table/group.go
@@ -186,8 +186,8 @@
 // PartOf returns the part of its zone that an endpoint belongs to.
 func PartOf(endpoint string, parts uint64) uint64 { return xxhash.Sum64String(endpoint) % parts }
 
-// ServicesOf returns the number of services that an endpoint of the table serves.
-func (t Table) ServicesOf(e Endpoint) int {
+// CountServices returns the number of services that an endpoint of the table serves.
+func (t Table) CountServices(e Endpoint) int {
 	services := make(map[string]bool)
 	for _, r := range t.Rows {
 		if r.Pool == e.Pool && r.Weights[e.Zone] > 0 {
--- a/state/table/stamp_test.go
+++ b/state/table/stamp_test.go
@@ -7,10 +7,10 @@
 
 func ExampleStamp() {
 	before := Stamp{Version: 16, Generation: 28}
-	fmt.Println("written after the store was restored:", Stamp{Version: 20, Generation: 24}.After(before))
-	fmt.Println("of the restored copy, written again:", Stamp{Version: 13, Generation: 30}.After(before))
-	fmt.Println("from a build without versions:", Stamp{Generation: 29}.After(before))
-	fmt.Println("the later one:", before.Latest(Stamp{Version: 20, Generation: 24}))
+	fmt.Println("written after the store was restored:", Stamp{Version: 20, Generation: 24}.NewerThan(before))
+	fmt.Println("of the restored copy, written again:", Stamp{Version: 13, Generation: 30}.NewerThan(before))
+	fmt.Println("from a build without versions:", Stamp{Generation: 29}.NewerThan(before))
+	fmt.Println("the later one:", before.Newer(Stamp{Version: 20, Generation: 24}))
 	// Output:
 	// written after the store was restored: true
 	// of the restored copy, written again: false
--- a/tests/integration/config_test.go
+++ b/tests/integration/config_test.go
@@ -55,14 +55,14 @@
 		convey.Convey("a change that one box has read spreads during an outage of the platform", func() {
 			f.Platform.SetDown(true)
 			next := f.Table().WithLeaving("lm-porta-decode-2", true).WithGeneration(f.Platform.Version(follow.ObjectName) + 5)
-			f.Boxes[0].Box.Offer(next)
+			f.Boxes[0].Box.ReceiveTable(next)
 			awaitGeneration(ctx, t, f, next.Generation)
 		})
 		convey.Convey("a box that starts with a stale read adopts the others' newer table", func() {
 			f.Platform.SetStale(follow.ObjectName, true)
 			f.Platform.SetDown(false)
 			next := f.Table().WithGeneration(f.Platform.Version(follow.ObjectName) + 9)
-			f.Boxes[0].Box.Offer(next)
+			f.Boxes[0].Box.ReceiveTable(next)
 			awaitGeneration(ctx, t, f, next.Generation)
 			m, err := f.AddBox("box-late")
 			convey.So(err, convey.ShouldBeNil)
--- a/tests/integration/notice_test.go
+++ b/tests/integration/notice_test.go
@@ -27,7 +27,7 @@
 // closable is an endpoint that can announce that it accepts no requests.
 type closable interface {
 	Leave()
-	Tire(rest time.Duration)
+	RejectWithRest(rest time.Duration)
 	Arrivals() *arrival.Log
 }
 
@@ -64,7 +64,7 @@
 				}
 				for _, e := range closed {
 					if c.rests {
-						e.Tire(restPeriod)
+						e.RejectWithRest(restPeriod)
 					} else {
 						e.Leave()
 					}
--- a/tests/mutants/accounts.go
+++ b/tests/mutants/accounts.go
@@ -61,7 +61,7 @@
 	},
 	{
 		name: "unknown_key_refused_for_good", file: "coordination/follow/confirm.go", pkg: routedTests, args: only("TestUnknownKeyOfABoxThatIsBehind"),
-		old: "return !f.newestNamed.After(f.table.Stamp()) && age", fault: "return age",
+		old: "return !f.newestNamed.NewerThan(f.table.Stamp()) && age", fault: "return age",
 	},
 	{
 		name: "two_keys_taken", file: "transport/relayhttp/credential.go", pkg: routedTests, args: only("TestKeys"),
--- a/tests/mutants/cold.go
+++ b/tests/mutants/cold.go
@@ -28,11 +28,11 @@
 	},
 	{
 		name: "home_settles_at_once", file: paceFile, pkg: paceTests, args: paceOracle,
-		old: "settleTime = viewSpread + OpenFor + time.Second", fault: "settleTime = viewSpread",
+		old: "settleTime = viewSpread + OpenTimeout + time.Second", fault: "settleTime = viewSpread",
 	},
 	{
 		name: "open_requests_forgotten_by_the_next_home", file: paceFile, pkg: paceTests, args: paceOracle,
-		old: "settleTime = viewSpread + OpenFor + time.Second", fault: "settleTime = viewSpread + time.Second",
+		old: "settleTime = viewSpread + OpenTimeout + time.Second", fault: "settleTime = viewSpread + time.Second",
 	},
 	{
 		name: "new_home_gives_at_once", file: paceFile, pkg: paceTests, args: only("TestGroupSplitAndRejoined"),
@@ -44,15 +44,15 @@
 	},
 	{
 		name: "lag_not_counted", file: windowFile, pkg: paceTests, args: paceOracle,
-		old: "Span = time.Second + Lag", fault: "Span = time.Second",
+		old: "Span = time.Second + MaxSendDelay", fault: "Span = time.Second",
 	},
 	{
 		name: "open_requests_not_counted", file: windowFile, pkg: paceTests, args: paceOracle,
-		old: "		if now-granted < OpenFor+Span {\n			count++", fault: "		if false && now-granted < OpenFor+Span {\n			count++",
+		old: "		if now-granted < OpenTimeout+Span {\n			count++", fault: "		if false && now-granted < OpenTimeout+Span {\n			count++",
 	},
 	{
 		name: "open_request_counts_from_its_grant", file: windowFile, pkg: paceTests, args: paceOracle,
-		old: "return w.WithSent(min(now, granted+OpenFor))", fault: "return w.WithSent(min(now, granted))",
+		old: "return w.WithSent(min(now, granted+OpenTimeout))", fault: "return w.WithSent(min(now, granted))",
 	},
 	{
 		name: "cold_engines_not_held_back", file: schedulePaceFile, pkg: scheduleTests, args: only("TestOraclePace"),
@@ -120,7 +120,7 @@
 	},
 	{
 		name: "grants_of_an_ended_group_forgotten", file: "coordination/home/configure.go", pkg: homeTests, args: only("TestGrantsOfARestartedGroup"),
-		old: "	cfg.Paced = h.cold.endedGrants\n", fault: "",
+		old: "	cfg.PacedWindows = h.cold.endedGrants\n", fault: "",
 	},
 	{
 		name: "engines_of_other_groups_are_new", file: homeRouterFile, pkg: homeTests, args: only("TestHomeFor"),
--- a/tests/mutants/notice.go
+++ b/tests/mutants/notice.go
@@ -13,7 +13,7 @@
 var noticeMutants = []mutant{
 	{
 		name: "leaving_outlasts_its_start", file: noticeFile, pkg: noticeTests, args: only("TestEndpointsAreClosed"),
-		old: "	if e.born != born {\n		return Standing{}\n	}\n", fault: "",
+		old: "	if e.born != born {\n		return Availability{}\n	}\n", fault: "",
 	},
 	{
 		name: "rest_shortened_by_a_later_answer", file: noticeFile, pkg: noticeTests, args: only("TestEndpointsAreClosed"),
@@ -33,6 +33,6 @@
 	},
 	{
 		name: "barred_engines_granted", file: "state/schedule/types.go", pkg: scheduleTests, args: only("TestEnginesThatToldABoxThatTheyLeave"),
-		old: " || slices.Contains(a.Barred, engine)", fault: "",
+		old: " || slices.Contains(a.Excluded, engine)", fault: "",
 	},
 }
--- a/tests/mutants/poison.go
+++ b/tests/mutants/poison.go
@@ -45,7 +45,7 @@
 	},
 	{
 		name: "poison_by_planned_ends", file: "coordination/quarantine/quarantine.go", pkg: quarantineTests, args: only("TestWhatEndsAnEndpoint"),
-		old: "if !known || !status.Usable() && !status.Left {", fault: "if !known {",
+		old: "if !known || !status.Usable() && !status.Replaced {", fault: "if !known {",
 	},
 	{
 		name: "poison_missed_for_ever", file: suspectsFile, pkg: quarantineTests, args: only("TestMissedEndsAreAskedFor"),
--- a/tests/mutants/routed.go
+++ b/tests/mutants/routed.go
@@ -64,7 +64,7 @@
 	},
 	{
 		name: "cut_stream_looks_whole", file: refusalFile, pkg: routedTests, args: only("TestBrokenStreams"),
-		old: "		h.caller.Break()\n	case errors.Is(context.Cause(ctx), context.Canceled):", fault: "		_ = h.caller.End()\n	case errors.Is(context.Cause(ctx), context.Canceled):",
+		old: "		h.caller.Abort()\n	case errors.Is(context.Cause(ctx), context.Canceled):", fault: "		_ = h.caller.End()\n	case errors.Is(context.Cause(ctx), context.Canceled):",
 	},
 	{
 		name: "half_event_passed_on", file: answerFile, pkg: routedTests, args: only("TestBrokenStreams"),
@@ -100,7 +100,7 @@
 	},
 	{
 		name: "older_table_taken", file: followFile, pkg: "./coordination/follow", args: only("TestReads"),
-		old: "if !t.Stamp().After(f.table.Stamp()) {\n		f.logOlder(t)", fault: "if t.Stamp() == f.table.Stamp() {\n		f.logOlder(t)",
+		old: "if !t.Stamp().NewerThan(f.table.Stamp()) {\n		f.logOlder(t)", fault: "if t.Stamp() == f.table.Stamp() {\n		f.logOlder(t)",
 	},
 	{
 		name: "read_without_bound", file: readTableFile, pkg: "./coordination/follow", args: only("TestReads"),
@@ -116,7 +116,7 @@
 	},
 	{
 		name: "left_endpoint_comes_back", file: directories, pkg: "./state/directory", args: manyCases("TestOracleDirectory"),
-		old: "Since: now, Left: old.Left,", fault: "Since: now,",
+		old: "Since: now, Replaced: old.Replaced,", fault: "Since: now,",
 	},
 	{
 		name: "write_to_an_ended_connection", file: "transport/boxnet/boxnet.go", pkg: "./transport/boxnet", args: only("TestRestart"),
--- a/tests/mutants/shared.go
+++ b/tests/mutants/shared.go
@@ -41,7 +41,7 @@
 	},
 	{
 		name: "spill_books_a_return", file: refuseFile, pkg: scheduleTests, args: only("TestSpill"),
-		old: "reason == lifecycle.ReasonHopeless && !w.ask.Spill && !w.late", fault: "reason == lifecycle.ReasonHopeless && !w.late",
+		old: "reason == lifecycle.ReasonTargetUnreachable && !w.ask.Spill && !w.late", fault: "reason == lifecycle.ReasonTargetUnreachable && !w.late",
 	},
 	{
 		name: "late_requests_before_others", file: "state/schedule/order.go", pkg: scheduleTests, args: only("TestLateBehindOthers"),
@@ -93,7 +93,7 @@
 	},
 	{
 		name: "prefill_without_slot", file: queueFile, pkg: scheduleTests, args: only("TestNoPrefillWithoutSlot"),
-		old: "v.DeferDecode = !g.cfg.Growing && ", fault: "v.DeferDecode = ",
+		old: "v.DeferDecode = !g.cfg.GrowingMemory && ", fault: "v.DeferDecode = ",
 	},
 	{
 		name: "refused_by_own_length", file: memoryFile, pkg: scheduleTests, args: only("TestNoLengthStarves"),
@@ -130,7 +130,7 @@
 	},
 	{
 		name: "every_box_tells", file: shareFile, pkg: discoverTests, args: only("TestUpdatesReachEveryBoxOnce"),
-		old: "d.cfg.Peers == nil || !d.decide(time.Now()).Tell", fault: "d.cfg.Peers == nil",
+		old: "d.cfg.Peers == nil || !d.decide(time.Now()).Announce", fault: "d.cfg.Peers == nil",
 	},
 	{
 		name: "missed_update_not_asked_for", file: "coordination/discover/gap.go", pkg: discoverTests, args: only("TestMissedUpdatesAreAskedFor"),
@@ -150,7 +150,7 @@
 	},
 	{
 		name: "stand_in_for_ever", file: coverFile, pkg: coverTests, args: only("TestReadersTakeOverAgain"),
-		old: "if c.substitute && (origin.Rank < 0 || origin.Rank > own.Rank) {", fault: "if c.substitute {",
+		old: "if c.standIn && (origin.Rank < 0 || origin.Rank > own.Rank) {", fault: "if c.standIn {",
 	},
 	{
 		name: "every_box_reads_until_it_knows_others", file: coverFile, pkg: coverTests, args: only("TestStart"),
--- a/tests/routed/account_test.go
+++ b/tests/routed/account_test.go
@@ -137,7 +137,7 @@
 		}
 		s.configure(configurationWithAccounts(3, accountEntry("desk", nil, keyDesk2)))
 		for _, e := range s.endpoints {
-			for _, head := range e.Heads() {
+			for _, head := range e.Headers() {
 				convey.So(head, convey.ShouldNotContainKey, "Authorization")
 				convey.So(fmt.Sprint(head), convey.ShouldNotContainSubstring, "key-")
 			}
@@ -235,7 +235,7 @@
 		b := s.boxes[0]
 		a := s.send(b, http.MethodGet, "/safe/x", "", bearer("added-just-now"))
 		convey.So(a.status, convey.ShouldEqual, http.StatusUnauthorized)
-		b.Heard("another", table.Stamp{Version: b.Table().Version + 1, Generation: b.Table().Generation + 1})
+		b.ReceiveStamp("another", table.Stamp{Version: b.Table().Version + 1, Generation: b.Table().Generation + 1})
 		a = s.send(b, http.MethodGet, "/safe/x", "", bearer("added-just-now"))
 		convey.So(a.status, convey.ShouldEqual, http.StatusServiceUnavailable)
 		convey.So(a.header.Get("Retry-After"), convey.ShouldNotBeEmpty)
--- a/tests/routed/builds_test.go
+++ b/tests/routed/builds_test.go
@@ -168,7 +168,7 @@
 		convey.So(homes, convey.ShouldBeGreaterThan, 0)
 		for _, b := range s.boxes {
 			status := b.Status()
-			convey.So(status.Peers, convey.ShouldResemble, map[uint16]int{uint16(boxwire.VersionNow): 2})
+			convey.So(status.Peers, convey.ShouldResemble, map[uint16]int{uint16(boxwire.VersionCurrent): 2})
 			convey.So(status.Unknown["250 unknown"], convey.ShouldBeGreaterThan, 0)
 			convey.So(len(status.Unknown), convey.ShouldEqual, 1)
 		}
--- a/tests/routed/cold_test.go
+++ b/tests/routed/cold_test.go
@@ -114,7 +114,7 @@
 				s := newColdSite(t, 3)
 				for _, cfg := range c.endpoints {
 					e := standin.NewEndpoint(cfg)
-					e.Cool(standin.Cold{For: coldPeriod, Bound: coldBound, Untold: c.untold})
+					e.StartCold(standin.Cold{For: coldPeriod, Bound: coldBound, Unpublished: c.untold})
 					s.announce(e)
 				}
 				for _, b := range s.boxes {
@@ -133,7 +133,7 @@
 				s.eventually("many are answered", func() bool { return answered.Load() >= floodAnswers })
 				stop()
 				for _, e := range s.endpoints {
-					fullest, falls := e.Fullest()
+					fullest, falls := e.ColdPeak()
 					convey.So(fullest, convey.ShouldBeLessThanOrEqualTo, int(coldBound))
 					convey.So(falls, convey.ShouldEqual, 0)
 				}
@@ -147,12 +147,12 @@
 	convey.Convey("An endpoint that announces that it is warm is no longer limited", t, func() {
 		s := newColdSite(t, 2)
 		e := standin.NewEndpoint(plainEndpoints()[0])
-		e.Cool(standin.Cold{For: coldPeriod, Bound: coldBound})
+		e.StartCold(standin.Cold{For: coldPeriod, Bound: coldBound})
 		s.announce(e)
 		for _, b := range s.boxes {
 			s.eventually("the box knows that it is cold", func() bool { return b.knowsCold(e.ID) })
 		}
-		e.Cool(standin.Cold{})
+		e.StartCold(standin.Cold{})
 		s.store.Put("servers", e.ID, e.Spec(false))
 		for _, b := range s.boxes {
 			s.eventually("the box knows that it is warm", func() bool { return !b.knowsCold(e.ID) })
--- a/tests/routed/drain_test.go
+++ b/tests/routed/drain_test.go
@@ -84,10 +84,10 @@
 	cases := map[string]func(s *site){
 		"the store announces it": func(s *site) { s.drain("zone-a") },
 		"watches deliver nothing, and the history is lost": func(s *site) {
-			s.store.Deafen(true)
+			s.store.HangWatches(true)
 			s.drain("zone-a")
 			s.store.Forget()
-			s.store.Deafen(false)
+			s.store.HangWatches(false)
 		},
 		"the store is down meanwhile": func(s *site) {
 			s.store.SetFault(standin.Busy)
--- a/tests/routed/notice_test.go
+++ b/tests/routed/notice_test.go
@@ -107,7 +107,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			convey.Convey("An endpoint receives almost nothing from a box that it asked for a rest", t, func() {
-				tire := func(e *standin.Endpoint) { e.Tire(restPeriod) }
+				tire := func(e *standin.Endpoint) { e.RejectWithRest(restPeriod) }
 				c.run(t, "endpoint_closed", tire, func(e *standin.Endpoint, _ time.Time) {
 					t.Logf("%s: at most %d in one of %d rests", e.ID, e.Arrivals().DuringRests(restDelay), e.Arrivals().Rests())
 					convey.So(e.Arrivals().DuringRests(restDelay), convey.ShouldBeLessThanOrEqualTo, maxDuringRest)
--- a/tests/routed/regions_test.go
+++ b/tests/routed/regions_test.go
@@ -49,7 +49,7 @@
 func (s *site) zonesReached(id string) []string {
 	var out []string
 	for _, e := range s.endpoints {
-		for _, h := range e.Heads() {
+		for _, h := range e.Headers() {
 			if h.Get("X-Request-Id") == id {
 				out = append(out, e.Zone)
 			}
@@ -60,7 +60,7 @@
 }
 
 // setManner makes the endpoints of a stage in the given zones behave in a manner.
-func (s *site) setManner(m standin.Manner, stage string, zones ...string) {
+func (s *site) setManner(m standin.AnswerMode, stage string, zones ...string) {
 	for _, e := range s.endpoints {
 		if e.Stage == stage && slices.Contains(zones, e.Zone) {
 			e.Behave(m)
@@ -102,8 +102,8 @@
 				s.configure(configurationWithRegions(2, c.route, c.account))
 				for _, b := range s.boxes {
 					shown := 0
-					for _, bound := range b.Status().Bound {
-						if bound.Of == operatorhttp.BoundOfAccount {
+					for _, bound := range b.Status().Restrictions {
+						if bound.Of == operatorhttp.RestrictionOfAccount {
 							shown++
 						}
 					}
--- a/tests/routed/routed_test.go
+++ b/tests/routed/routed_test.go
@@ -90,7 +90,7 @@
 		retry bool
 	}
 	cases := map[string]struct {
-		manner standin.Manner
+		manner standin.AnswerMode
 		path   string
 		want   expected
 	}{
@@ -339,10 +339,10 @@
 		convey.So(s.send(s.boxes[0], http.MethodGet, "/added-2/x", "", nil).status, convey.ShouldEqual, http.StatusNotFound)
 		s.store.Put("config", "main", configuration(2))
 		s.eventually("version 2 is in force", served(2))
-		s.store.Deafen(true)
+		s.store.HangWatches(true)
 		s.store.Put("config", "main", configuration(3))
 		s.store.Forget()
-		s.store.Deafen(false)
+		s.store.HangWatches(false)
 		s.eventually("version 3 is in force", served(3))
 		s.store.SetFault(standin.Busy)
 		convey.So(served(3)(), convey.ShouldBeTrue)
--- a/tests/routed/slow_test.go
+++ b/tests/routed/slow_test.go
@@ -107,7 +107,7 @@
 	grown := liveHeap() - before
 	told := b.Status().Held
 	s.t.Logf("heap grown by %d bytes, held %+v", grown, told)
-	convey.So(told.Most, convey.ShouldBeLessThanOrEqualTo, heldBytes)
+	convey.So(told.Peak, convey.ShouldBeLessThanOrEqualTo, heldBytes)
 	convey.So(grown, convey.ShouldBeLessThan, heldBytes+slowCallers*connectionBytes)
 }
 
--- a/transport/boxnet/hello.go
+++ b/transport/boxnet/hello.go
@@ -14,7 +14,7 @@
 // hello returns the frame that opens a connection to a box. Its proof covers the names of both
 // boxes, so that a hello to one box can't be replayed to another.
 func (n *Net) hello(to string) ([]byte, error) {
-	m := &boxwire.Hello{Box: n.cfg.Box, Incarnation: n.cfg.Incarnation, Version: boxwire.VersionNow}
+	m := &boxwire.Hello{Box: n.cfg.Box, Incarnation: n.cfg.Incarnation, Version: boxwire.VersionCurrent}
 	m.Proof = n.proof(m, to)
 	// The version of the process that listens there now is unknown before its own hello
 	// arrives, so this one is encoded for the oldest.
--- a/transport/boxnet/versions.go
+++ b/transport/boxnet/versions.go
@@ -16,10 +16,10 @@
 // Peer is another box as known from membership.
 type Peer struct {
 	Address string
-	// Start is the incarnation of the box's process, and Version the wire version that the
+	// Incarnation is the incarnation of the box's process, and Version the wire version that the
 	// process announces; 0 is unknown for both.
-	Start   uint64
-	Version boxwire.Version
+	Incarnation uint64
+	Version     boxwire.Version
 }
 
 // peerVersion is what one process of a box can read.
@@ -63,7 +63,7 @@
 	if p.peers == nil {
 		p.peers = make(map[string]*peerVersion)
 	}
-	start := member.Start
+	start := member.Incarnation
 	if known := p.peers[box]; known != nil {
 		start = max(start, known.incarnation)
 	}
@@ -90,7 +90,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	known := p.peers[box]
-	if known == nil || known.incarnation < member.Start {
+	if known == nil || known.incarnation < member.Incarnation {
 		return member.Version, member.Version.Reads(k)
 	}
 	return known.version, known.version.Reads(k) || known.reads[k]
--- a/transport/boxnet/versions_test.go
+++ b/transport/boxnet/versions_test.go
@@ -19,7 +19,7 @@
 func TestPeerVersions(t *testing.T) {
 	const kind = boxwire.KindSuspects
 	old := &boxwire.Hello{Box: "a", Incarnation: 1}
-	next := &boxwire.Hello{Box: "a", Incarnation: 2, Version: boxwire.VersionLoose}
+	next := &boxwire.Hello{Box: "a", Incarnation: 2, Version: boxwire.VersionLenient}
 	sender := boxwire.Owner{Box: "a", Incarnation: 1}
 	cases := map[string]struct {
 		events func(p *peerVersions)
@@ -30,9 +30,9 @@
 	}{
 		"no hello yet":     {events: func(*peerVersions) {}, version: boxwire.VersionNone, reads: false},
 		"an earlier build": {events: func(p *peerVersions) { p.recordHello(old) }, version: boxwire.VersionNone, reads: false},
-		"this build":       {events: func(p *peerVersions) { p.recordHello(next) }, version: boxwire.VersionLoose, reads: true},
+		"this build":       {events: func(p *peerVersions) { p.recordHello(next) }, version: boxwire.VersionLenient, reads: true},
 		"an earlier build that sends the kind itself":     {events: func(p *peerVersions) { p.recordHello(old); p.recordKind(sender, kind) }, version: boxwire.VersionNone, reads: true},
-		"a later process than the one that sent the kind": {events: func(p *peerVersions) { p.recordHello(old); p.recordKind(sender, kind); p.recordHello(next) }, version: boxwire.VersionLoose, reads: true},
+		"a later process than the one that sent the kind": {events: func(p *peerVersions) { p.recordHello(old); p.recordKind(sender, kind); p.recordHello(next) }, version: boxwire.VersionLenient, reads: true},
 		"an earlier build that replaces this one":         {events: func(p *peerVersions) { p.recordHello(next); p.recordHello(old) }, version: boxwire.VersionNone, reads: false},
 		"a kind sent by an earlier process no longer counts": {events: func(p *peerVersions) {
 			p.recordHello(next)
@@ -41,25 +41,25 @@
 		}, version: boxwire.VersionNone, reads: false},
 		"a box whose process may have ended": {events: func(p *peerVersions) {
 			p.recordHello(next)
-			p.forget("a", Peer{Start: 2, Version: boxwire.VersionLoose})
+			p.forget("a", Peer{Incarnation: 2, Version: boxwire.VersionLenient})
 		}, version: boxwire.VersionNone, reads: false},
 		"a kind that all builds read, without a version": {events: func(p *peerVersions) { p.recordHello(old); p.recordKind(sender, boxwire.KindPull) }, version: boxwire.VersionNone, reads: false},
 		"no hello yet, but known from membership": {
-			events: func(*peerVersions) {}, member: Peer{Start: 2, Version: boxwire.VersionLoose}, version: boxwire.VersionLoose, reads: true,
+			events: func(*peerVersions) {}, member: Peer{Incarnation: 2, Version: boxwire.VersionLenient}, version: boxwire.VersionLenient, reads: true,
 		},
 		"membership knows a later process": {
-			events: func(p *peerVersions) { p.recordHello(old) }, member: Peer{Start: 2, Version: boxwire.VersionLoose}, version: boxwire.VersionLoose, reads: true,
+			events: func(p *peerVersions) { p.recordHello(old) }, member: Peer{Incarnation: 2, Version: boxwire.VersionLenient}, version: boxwire.VersionLenient, reads: true,
 		},
 		"a hello takes precedence over membership": {
-			events: func(p *peerVersions) { p.recordHello(next) }, member: Peer{Start: 2}, version: boxwire.VersionLoose, reads: true,
+			events: func(p *peerVersions) { p.recordHello(next) }, member: Peer{Incarnation: 2}, version: boxwire.VersionLenient, reads: true,
 		},
 		"membership knows a process that may have ended": {
-			events: func(p *peerVersions) { p.forget("a", Peer{Start: 2, Version: boxwire.VersionLoose}) },
-			member: Peer{Start: 2, Version: boxwire.VersionLoose}, version: boxwire.VersionNone,
+			events: func(p *peerVersions) { p.forget("a", Peer{Incarnation: 2, Version: boxwire.VersionLenient}) },
+			member: Peer{Incarnation: 2, Version: boxwire.VersionLenient}, version: boxwire.VersionNone,
 		},
 		"the process that replaces it": {
-			events: func(p *peerVersions) { p.forget("a", Peer{Start: 2}) },
-			member: Peer{Start: 3, Version: boxwire.VersionLoose}, version: boxwire.VersionLoose, reads: true,
+			events: func(p *peerVersions) { p.forget("a", Peer{Incarnation: 2}) },
+			member: Peer{Incarnation: 3, Version: boxwire.VersionLenient}, version: boxwire.VersionLenient, reads: true,
 		},
 	}
 	for name, c := range cases {
@@ -93,7 +93,7 @@
 		}()
 		c, err := net.Dial("tcp", l.Addr().String())
 		convey.So(err, convey.ShouldBeNil)
-		const later = boxwire.VersionNow + 1
+		const later = boxwire.VersionCurrent + 1
 		stream, err := boxwire.Append(nil, &boxwire.Hello{Box: "a", Incarnation: 1, Version: later}, boxwire.VersionNone)
 		convey.So(err, convey.ShouldBeNil)
 		const future = 200
@@ -117,14 +117,14 @@
 		want boxwire.Version
 	}{
 		"a refusal": {err: &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}, want: boxwire.VersionNone},
-		"a timeout": {err: &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}, want: boxwire.VersionNow},
+		"a timeout": {err: &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}, want: boxwire.VersionCurrent},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			n := New(t.Context(), Config{Box: "b", Log: log.Discard()})
-			n.versions.recordHello(&boxwire.Hello{Box: "a", Incarnation: 1, Version: boxwire.VersionNow})
+			n.versions.recordHello(&boxwire.Hello{Box: "a", Incarnation: 1, Version: boxwire.VersionCurrent})
 			n.dialFailed("a", c.err)
-			if got, _ := n.versions.of("a", Peer{Start: 1}, boxwire.KindPull); got != c.want {
+			if got, _ := n.versions.of("a", Peer{Incarnation: 1}, boxwire.KindPull); got != c.want {
 				t.Errorf("version %d, want %d", got, c.want)
 			}
 		})
--- a/transport/callerhttp/complete.go
+++ b/transport/callerhttp/complete.go
@@ -44,7 +44,7 @@
 	x := &exchange{
 		s:       s,
 		call:    call,
-		watch:   watchGone(ctx.Conn(), call.Gone),
+		watch:   watchGone(ctx.Conn(), call.CallerGone),
 		body:    body,
 		request: request,
 		hold:    hold,
@@ -201,7 +201,7 @@
 	_, _ = w.Write(data)
 	_, _ = w.WriteString("\n\n")
 	if err := w.Flush(); err != nil {
-		x.call.Gone()
+		x.call.CallerGone()
 		return false
 	}
 	return true
--- a/transport/callerhttp/plain.go
+++ b/transport/callerhttp/plain.go
@@ -95,7 +95,7 @@
 	if p.kept != nil {
 		// A watch is only possible without a streamed body, since the library reads
 		// that from the connection.
-		watch := watchGone(ctx.Conn(), call.Gone)
+		watch := watchGone(ctx.Conn(), call.CallerGone)
 		finish = func() {
 			watch.stop()
 			hold.Close()
@@ -151,7 +151,7 @@
 	p.call.Once = r.Once
 	if p.kept != nil {
 		// A streamed body can't be fingerprinted before it is sent.
-		r.Asks = poisonRequest(ctx, r.Account, p.kept)
+		r.PoisonIdentity = poisonRequest(ctx, r.Account, p.kept)
 	}
 	return p, r, nil
 }
--- a/transport/callerhttp/refuse.go
+++ b/transport/callerhttp/refuse.go
@@ -48,7 +48,7 @@
 
 // refuseUnread refuses a request that is invalid or could not be read. It did not run.
 func (s *Server) refuseUnread(ctx *fasthttp.RequestCtx, status int, err error) {
-	if !errors.Is(err, held.ErrNoRoom) {
+	if !errors.Is(err, held.ErrBudgetExhausted) {
 		s.refuseField(ctx, status, err)
 		return
 	}
--- a/transport/callerhttp/request.go
+++ b/transport/callerhttp/request.go
@@ -36,14 +36,14 @@
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
 		if !h.Take(len(ctx.PostBody())) {
-			return nil, held.ErrNoRoom
+			return nil, held.ErrBudgetExhausted
 		}
 		// The library reuses its buffer after the handler has returned.
 		return append([]byte{}, ctx.PostBody()...), nil
 	}
-	data, err := held.Read(stream, h, held.Unknown, limit)
+	data, err := held.Read(stream, h, held.UnknownLength, limit)
 	switch {
-	case errors.Is(err, held.ErrTooLong), errors.Is(err, held.ErrNoRoom):
+	case errors.Is(err, held.ErrTooLong), errors.Is(err, held.ErrBudgetExhausted):
 		return data, err
 	case err != nil:
 		return data, invalid.FieldError{Field: "body", Value: "cut short", Allowed: "a whole body: " + err.Error()}
@@ -80,7 +80,7 @@
 		}
 	}
 	r, err := s.fill(ctx, body, service)
-	r.Asks = poisonRequest(ctx, r.Account, data)
+	r.PoisonIdentity = poisonRequest(ctx, r.Account, data)
 	if err != nil {
 		return body, r, fasthttp.StatusBadRequest, err
 	}
--- a/transport/enginehttp/enginehttp.go
+++ b/transport/enginehttp/enginehttp.go
@@ -65,7 +65,7 @@
 	return adapter.Prefilled{
 		Tokens:    out.Tokens,
 		Computed:  out.Computed,
-		WorkedUS:  out.WorkedUS,
+		ComputeUS: out.WorkedUS,
 		ExpiresMS: out.ExpiresMS,
 	}, nil
 }
@@ -235,7 +235,7 @@
 	if err != nil {
 		return nil, httpcall.ErrorType(err).Wrap(err, "engine %s", e.Name)
 	}
-	c.notices.Answered(notice.Answered{
+	c.notices.Answered(notice.Answer{
 		Request: attempt, Endpoint: e.Name, Restarts: true,
 		Notice: relayapi.Default().ParseNotice(resp.StatusCode, resp.Header.Get),
 		// Only prefill and decode orders carry requests; answers to others may omit the
--- a/transport/operatorhttp/operatorhttp.go
+++ b/transport/operatorhttp/operatorhttp.go
@@ -84,8 +84,8 @@
 	Quotas *quota.Status `json:"quotas,omitempty"`
 	// Zones holds the drained availability zones; nil without routed services.
 	Zones *drain.Status `json:"zones,omitempty"`
-	// Bound lists the routes and accounts that are restricted to some regions.
-	Bound []Bound `json:"bound,omitempty"`
+	// Restrictions lists the routes and accounts that are restricted to some regions.
+	Restrictions []RegionRestriction `json:"bound,omitempty"`
 	// Stages holds the stage plans of the groups whose home this box is.
 	Stages []home.StagePlan `json:"stages,omitempty"`
 	// Region is the region of the box's zone; empty is unknown.
@@ -126,18 +126,18 @@
 	Messages uint64 `json:"messages"`
 }
 
-// Bound is a route or an account with its allowed regions in the table in force.
-type Bound struct {
-	// Of is one of the BoundOf constants, and Name the name of the route or account.
+// RegionRestriction is a route or an account with its allowed regions in the table in force.
+type RegionRestriction struct {
+	// Of is one of the RestrictionOf constants, and Name the name of the route or account.
 	Of      string   `json:"of"`
 	Name    string   `json:"name"`
 	Regions []string `json:"regions"`
 }
 
-// Values of Bound.Of.
+// Values of RegionRestriction.Of.
 const (
-	BoundOfRoute   = "route"
-	BoundOfAccount = "account"
+	RestrictionOfRoute   = "route"
+	RestrictionOfAccount = "account"
 )
 
 // Member is a box in this box's view of the membership.
--- a/transport/plainhttp/plainhttp.go
+++ b/transport/plainhttp/plainhttp.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, httpcall.ErrorType(err).Wrap(err, "endpoint %s", e.Name)
 	}
-	c.notices.Answered(notice.Answered{
+	c.notices.Answered(notice.Answer{
 		Request: call.Attempt.String(), Endpoint: e.Name, Restarts: true,
 		Notice: relayapi.Default().ParseNotice(resp.StatusCode, resp.Header.Get),
 		Served: resp.StatusCode < http.StatusInternalServerError,
--- a/transport/platformhttp/platformhttp.go
+++ b/transport/platformhttp/platformhttp.go
@@ -61,9 +61,9 @@
 	return adapter.Object{Version: o.Version, Value: o.Value}, err
 }
 
-// GetOld reads an object. It is the same as Get without a wait, since this platform has only one
+// GetStale reads an object. It is the same as Get without a wait, since this platform has only one
 // kind of read.
-func (c *Client) GetOld(ctx context.Context, name string) (adapter.Object, error) {
+func (c *Client) GetStale(ctx context.Context, name string) (adapter.Object, error) {
 	return c.Get(ctx, name, 0)
 }
 
--- a/transport/relayhttp/credential.go
+++ b/transport/relayhttp/credential.go
@@ -21,7 +21,7 @@
 // credentialOf parses a caller's Authorization fields. A credential is valid only if there
 // is exactly one field that holds the scheme (in any case), one space and a key of visible
 // ASCII characters.
-func credentialOf(fields []relay.Field) relay.Credential {
+func credentialOf(fields []relay.HeaderField) relay.Credential {
 	c := relay.Credential{Opaque: fields}
 	if len(fields) != 1 {
 		return c
--- a/transport/relayhttp/outlet_test.go
+++ b/transport/relayhttp/outlet_test.go
@@ -85,7 +85,7 @@
 			written += n
 		}
 		convey.So(errors.Is(err, relay.ErrSlowCaller), convey.ShouldBeTrue)
-		convey.So(budget.Status().Most, convey.ShouldBeLessThanOrEqualTo, unreadShare)
+		convey.So(budget.Status().Peak, convey.ShouldBeLessThanOrEqualTo, unreadShare)
 		_, err = o.finish(time.Minute)
 		convey.So(errors.Is(err, relay.ErrSlowCaller), convey.ShouldBeTrue)
 		convey.So(budget.Status().Used, convey.ShouldEqual, 0)
@@ -101,7 +101,7 @@
 		got, err := io.ReadAll(caller)
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(bytes.Equal(got, text), convey.ShouldBeTrue)
-		convey.So(budget.Status().Yielding, convey.ShouldEqual, 0)
+		convey.So(budget.Status().Evictable, convey.ShouldEqual, 0)
 	})
 	convey.Convey("An evicted answer ends", t, func() {
 		budget := budgetOf(1 << 20)
--- a/transport/relayhttp/read.go
+++ b/transport/relayhttp/read.go
@@ -193,12 +193,12 @@
 				q.Wait = wait
 			}
 		case strings.EqualFold(name, headerAuthorization):
-			q.Credential.Opaque = append(q.Credential.Opaque, relay.Field{Name: name, Value: text})
+			q.Credential.Opaque = append(q.Credential.Opaque, relay.HeaderField{Name: name, Value: text})
 		case strings.EqualFold(name, "Connection"):
 			named += "," + text
 		case strings.EqualFold(name, "Host"), hopByHop[strings.ToLower(name)], names.OwnedByBox(name):
 		default:
-			q.Header = append(q.Header, relay.Field{Name: name, Value: text})
+			q.Header = append(q.Header, relay.HeaderField{Name: name, Value: text})
 		}
 		if strings.EqualFold(name, names.Tokens) {
 			q.Prompt.Tokens, q.Prompt.Output = relayapi.ParseTokens(text)
@@ -222,7 +222,7 @@
 }
 
 // withoutNamed removes the fields listed in named, the value of Connection.
-func withoutNamed(fields []relay.Field, named string) []relay.Field {
+func withoutNamed(fields []relay.HeaderField, named string) []relay.HeaderField {
 	out := fields[:0]
 	for _, f := range fields {
 		drop := false
@@ -271,13 +271,13 @@
 	defer c.source.end()
 	length, framed := f.length, io.LimitReader(c.reader, f.length)
 	if f.chunked {
-		length, framed = held.Unknown, httputil.NewChunkedReader(c.reader)
+		length, framed = held.UnknownLength, httputil.NewChunkedReader(c.reader)
 	}
 	data, err := held.Read(framed, q.held, length, b.body)
 	switch {
 	case errors.Is(err, held.ErrTooLong):
 		return errBodyTooLarge
-	case errors.Is(err, held.ErrNoRoom):
+	case errors.Is(err, held.ErrBudgetExhausted):
 		return errNoRoom
 	case err != nil && isTimeout(err):
 		return errBodyTooSlow
--- a/transport/relayhttp/reply.go
+++ b/transport/relayhttp/reply.go
@@ -38,7 +38,7 @@
 
 // Head writes the status line and headers of an answer. A negative length is unknown: the
 // answer is chunked, or for HTTP/1.0 ends with the connection.
-func (w *reply) Head(status int, header []relay.Field, length int64) error {
+func (w *reply) Head(status int, header []relay.HeaderField, length int64) error {
 	b := w.conn.writer
 	w.closeAfter = w.q.closeAfter || w.conn.s.stopping.Load()
 	w.noBody = w.q.Method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
@@ -104,10 +104,10 @@
 	return w.flush()
 }
 
-// Break ends an answer so that the caller can't take it for a complete one: the connection
+// Abort ends an answer so that the caller can't take it for a complete one: the connection
 // is closed without the end that its framing requires, after the caller has received what
 // was written before.
-func (w *reply) Break() {
+func (w *reply) Abort() {
 	w.done, w.broken = true, true
 	if w.conn.out.unread() == 0 {
 		w.conn.cut(w.q.http10)
@@ -128,17 +128,17 @@
 	if err != nil {
 		panic(err)
 	}
-	fields := []relay.Field{{Name: "Content-Type", Value: "application/json"}}
+	fields := []relay.HeaderField{{Name: "Content-Type", Value: "application/json"}}
 	if w.q.ID != "" {
-		fields = append(fields, relay.Field{Name: w.names.RequestID, Value: w.q.ID})
+		fields = append(fields, relay.HeaderField{Name: w.names.RequestID, Value: w.q.ID})
 	}
 	if r.Challenge {
-		fields = append(fields, relay.Field{Name: "WWW-Authenticate", Value: scheme})
+		fields = append(fields, relay.HeaderField{Name: "WWW-Authenticate", Value: scheme})
 	}
 	if r.RetryAfter > 0 {
-		fields = append(fields, relay.Field{Name: "Retry-After", Value: formatSeconds(r.RetryAfter)})
+		fields = append(fields, relay.HeaderField{Name: "Retry-After", Value: formatSeconds(r.RetryAfter)})
 	}
 	if w.Head(r.Status, fields, int64(len(body))) != nil || w.Write(body) != nil || w.End() != nil {
-		w.Break()
+		w.Abort()
 	}
 }
--- a/transport/relayhttp/server.go
+++ b/transport/relayhttp/server.go
@@ -159,12 +159,12 @@
 // by the caller.
 func (s *Server) Delivering() int { return int(s.delivering.Load()) }
 
-// Leave makes every later answer the last on its connection.
-func (s *Server) Leave() { s.stopping.Store(true) }
+// DisableKeepAlives makes every later answer the last on its connection.
+func (s *Server) DisableKeepAlives() { s.stopping.Store(true) }
 
-// CloseResting ends the idle connections, and from now on every connection as soon as it
+// CloseIdle ends the idle connections, and from now on every connection as soon as it
 // becomes idle.
-func (s *Server) CloseResting() {
+func (s *Server) CloseIdle() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.closing = true
@@ -295,7 +295,7 @@
 	c.s.cfg.Relay.Serve(ctx, q.Request, w)
 	q.held.Close()
 	if !w.done {
-		w.Break()
+		w.Abort()
 	}
 	c.deliver(q.ID)
 	alive := watch.stop()
--- a/transport/upstream/exchange.go
+++ b/transport/upstream/exchange.go
@@ -126,8 +126,8 @@
 	for _, f := range call.Header {
 		field(f.Name, f.Value)
 	}
-	if call.Left > 0 {
-		field(x.names.Deadline, strconv.FormatInt(max(call.Left.Milliseconds(), 1), 10))
+	if call.Remaining > 0 {
+		field(x.names.Deadline, strconv.FormatInt(max(call.Remaining.Milliseconds(), 1), 10))
 	}
 	if !call.Control {
 		field(x.names.Instance, call.Endpoint.ID)
@@ -135,7 +135,7 @@
 	if call.Account != "" {
 		field(x.names.Account, call.Account)
 	}
-	if call.Ranked {
+	if call.HasPriority {
 		field(x.names.Priority, strconv.Itoa(call.Priority))
 	}
 	if call.Prefill {
@@ -195,13 +195,13 @@
 // connection is reusable.
 func (x *exchange) answer(resp *http.Response) *relay.Answer {
 	a := &relay.Answer{
-		Status:    resp.StatusCode,
-		Length:    resp.ContentLength,
-		Signed:    resp.Header.Get(x.names.Signature) != "",
-		NotRun:    resp.Header.Get(x.names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest,
-		OtherHere: resp.StatusCode == http.StatusMisdirectedRequest,
-		Notice:    x.names.ParseNotice(resp.StatusCode, resp.Header.Get),
-		Encoded:   resp.Header.Get("Content-Encoding") != "",
+		Status:       resp.StatusCode,
+		Length:       resp.ContentLength,
+		Signed:       resp.Header.Get(x.names.Signature) != "",
+		NotRun:       resp.Header.Get(x.names.NotRun) != "" || resp.StatusCode == http.StatusMisdirectedRequest,
+		AddressTaken: resp.StatusCode == http.StatusMisdirectedRequest,
+		Notice:       x.names.ParseNotice(resp.StatusCode, resp.Header.Get),
+		Encoded:      resp.Header.Get("Content-Encoding") != "",
 	}
 	x.conn.idleFor = keepAlive(resp.Header)
 	reusable := !resp.Close && !x.stray
@@ -212,7 +212,7 @@
 	strip(resp.Header)
 	for name, values := range resp.Header {
 		for _, v := range values {
-			a.Header = append(a.Header, relay.Field{Name: name, Value: v})
+			a.Header = append(a.Header, relay.HeaderField{Name: name, Value: v})
 		}
 	}
 	a.Body = &body{x: x, source: resp.Body, reusable: reusable}
--- a/transport/upstream/orders.go
+++ b/transport/upstream/orders.go
@@ -40,7 +40,7 @@
 // Order sends an order to an engine. The error is stages.ErrRefused if the order was certainly
 // not carried out: the engine refused it, or it never reached the engine.
 func (c *Client) Order(ctx context.Context, e stages.Engine, o stages.Order) error {
-	body, err := c.cfg.Names.Orders.Write(o)
+	body, err := c.cfg.Names.Orders.MarshalOrder(o)
 	if err != nil {
 		return err
 	}
@@ -65,9 +65,9 @@
 // control sends a control call, one that isn't on behalf of a caller, to one incarnation of an
 // engine.
 func (c *Client) control(ctx context.Context, e stages.Engine, method, path string, body []byte) (*relay.Answer, error) {
-	header := []relay.Field{{Name: c.cfg.Names.Instance, Value: e.ID}}
+	header := []relay.HeaderField{{Name: c.cfg.Names.Instance, Value: e.ID}}
 	if body != nil {
-		header = append(header, relay.Field{Name: "Content-Type", Value: "application/json"})
+		header = append(header, relay.HeaderField{Name: "Content-Type", Value: "application/json"})
 	}
 	return c.Send(ctx, relay.Call{
 		Endpoint: relay.Endpoint{Service: e.Service, ID: e.ID, Address: e.Address, Born: e.Born},
--- a/transport/upstream/upstream.go
+++ b/transport/upstream/upstream.go
@@ -104,8 +104,8 @@
 	}
 	x := &exchange{client: c, conn: k, call: call, names: c.cfg.Names}
 	a, err := x.run(ctx)
-	if err == nil && !a.OtherHere {
-		c.cfg.Notices.Answered(notice.Answered{
+	if err == nil && !a.AddressTaken {
+		c.cfg.Notices.Answered(notice.Answer{
 			Request: call.RequestID, Endpoint: call.Endpoint.ID, Born: call.Endpoint.Born,
 			Notice: a.Notice, Served: served(call, a),
 		})
@@ -168,7 +168,7 @@
 
 // dial opens the connection for which pop reserved capacity. Failures are adapter.ErrNotRun.
 func (c *Client) dial(ctx context.Context, key poolKey, e relay.Endpoint) (*conn, error) {
-	timeouts := socket.Patience{Dial: dialTimeout, Sent: ackTimeout, Probe: probeInterval, Probes: probes}
+	timeouts := socket.Timeouts{Dial: dialTimeout, Unacknowledged: ackTimeout, KeepAlive: probeInterval, Probes: probes}
 	begin := time.Now()
 	raw, err := timeouts.Dialer().DialContext(ctx, "tcp", e.Address)
 	if err != nil {
