--- a/bench/slopes/slopes.go
+++ b/bench/slopes/slopes.go
@@ -113,7 +113,7 @@
 	return f, len(f.Busiest) == sizes
 }
 
-// Fit is a power law: value = One * boxes^Power.
+// Fit is a power law through the points above 0: value = One * boxes^Power.
 type Fit struct{ One, Power float64 }
 
 // At returns the value for a number of boxes.
--- a/modules/metric/limit.go
+++ b/modules/metric/limit.go
@@ -13,10 +13,10 @@
 // limitInstruments creates the instruments for endpoints that announce a limit.
 func (m *Metrics) limitInstruments(meter metric.Meter) error {
 	var err error
-	if m.limitGranted, err = meter.Int64Counter("runridge.limit.granted", metric.WithUnit("{request}"), metric.WithDescription("Requests granted by this box's homes for endpoints that announce a limit, by service.")); err != nil {
+	if m.limitGranted, err = meter.Int64Counter("runridge.limit.granted", metric.WithUnit("{request}"), metric.WithDescription("Requests granted by this box's homes for endpoints that name a limit, by service.")); err != nil {
 		return err
 	}
-	m.limitRefused, err = meter.Int64Counter("runridge.limit.refused", metric.WithUnit("{request}"), metric.WithDescription("Refusals by this box's homes while endpoints were held back by the limits that they announce, by service."))
+	m.limitRefused, err = meter.Int64Counter("runridge.limit.refused", metric.WithUnit("{request}"), metric.WithDescription("Refusals by this box's homes while endpoints were held back by the limits that they name, by service."))
 	return err
 }
 
--- a/modules/metric/metric.go
+++ b/modules/metric/metric.go
@@ -127,13 +127,13 @@
 // relayInstruments creates the instruments for routed services and for the platform.
 func (m *Metrics) relayInstruments(meter metric.Meter) error {
 	var err error
-	if m.sends, err = meter.Int64Counter("runridge.sends", metric.WithUnit("{send}"), metric.WithDescription("Requests sent to endpoints of routed services, by purpose.")); err != nil {
+	if m.sends, err = meter.Int64Counter("runridge.sends", metric.WithUnit("{send}"), metric.WithDescription("Arrivals at endpoints of routed services, by purpose.")); err != nil {
 		return err
 	}
 	if m.retriesDenied, err = meter.Int64Counter("runridge.retries.denied", metric.WithUnit("{retry}"), metric.WithDescription("Retries that the budget did not allow.")); err != nil {
 		return err
 	}
-	if m.brokenExchanges, err = meter.Int64Counter("runridge.exchanges.broken", metric.WithUnit("{exchange}"), metric.WithDescription("Exchanges with endpoints that were interrupted, by service and kind of interruption.")); err != nil {
+	if m.brokenExchanges, err = meter.Int64Counter("runridge.exchanges.broken", metric.WithUnit("{exchange}"), metric.WithDescription("Exchanges with endpoints that broke off, by service and how.")); err != nil {
 		return err
 	}
 	if m.quotaDecisions, err = meter.Int64Counter("runridge.quota.decisions", metric.WithUnit("{request}"), metric.WithDescription("Decisions on accounts' quotas, by account and outcome.")); err != nil {
@@ -240,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	held, err := meter.Int64ObservableGauge("runridge.held", metric.WithUnit("By"), metric.WithDescription("Bytes held in memory for callers, by purpose."))
+	held, err := meter.Int64ObservableGauge("runridge.held", metric.WithUnit("By"), metric.WithDescription("Bytes held in memory for callers, by what for."))
 	if err != nil {
 		return err
 	}
--- a/modules/metric/poison.go
+++ b/modules/metric/poison.go
@@ -14,10 +14,10 @@
 // requests that cause it.
 func (m *Metrics) poisonInstruments(meter metric.Meter) error {
 	var err error
-	if m.endpointsEnded, err = meter.Int64Counter("runridge.endpoints.ended", metric.WithUnit("{endpoint}"), metric.WithDescription("Endpoints that terminated while they ran requests of this box, by service.")); err != nil {
+	if m.endpointsEnded, err = meter.Int64Counter("runridge.endpoints.ended", metric.WithUnit("{endpoint}"), metric.WithDescription("Endpoints that ended in the middle of requests of this box, by service.")); err != nil {
 		return err
 	}
-	m.poisonRefused, err = meter.Int64Counter("runridge.poison.refused", metric.WithUnit("{request}"), metric.WithDescription("Requests kept from the endpoints because they terminate those that run them, by service."))
+	m.poisonRefused, err = meter.Int64Counter("runridge.poison.refused", metric.WithUnit("{request}"), metric.WithDescription("Requests kept from the endpoints since they end those that run them, by service."))
 	return err
 }
 
--- a/state/poison/ledger_test.go
+++ b/state/poison/ledger_test.go
@@ -357,8 +357,8 @@
 	}
 }
 
-// TestOthersAreNotBlocked checks the property that endsToBlock was chosen for: a poison request
-// ends no more endpoints than that, and no other request is blocked.
+// TestOthersAreNotBlocked checks that a poison request ends exactly endsToBlock endpoints, and
+// that no other request is classified as poison.
 func TestOthersAreNotBlocked(t *testing.T) {
 	for seed := range uint64(200) {
 		if r := scenarios["a poison request"].run(seed, endsToBlock); r.lost != endsToBlock || r.wrong > 0 {
--- a/state/schedule/pace.go
+++ b/state/schedule/pace.go
@@ -66,7 +66,7 @@
 // restoreWarmSpeed restores what was learned of the engine before it became cold. If nothing
 // was, as for a new engine, its times while cold are the best estimate until it has served more
 // requests. Starting again from the table's rates made all new engines seem four times as fast
-// as they were, and cost 0.05 of a day's worth (the mean value of answers to callers, Worth in
+// as they were, and cost 0.05 of a day's score (the mean value of answers to callers, Worth in
 // modules/timeline).
 func (e *engine) restoreWarmSpeed() {
 	if e.warmSpeed.prefill.Seen() > 0 {
