--- a/tests/mutants/accounts.go
+++ b/tests/mutants/accounts.go
@@ -13,7 +13,7 @@
 	stagesTests      = "./coordination/stages"
 )
 
-// stageMutants are deliberate faults in the orders to engines.
+// stageMutants are faults in the orders that make engines change their stage.
 var stageMutants = []mutant{
 	{
 		name: "lease_not_waited_out", file: leaseFile, pkg: stagesTests, args: only("TestOrders"),
@@ -45,10 +45,10 @@
 	},
 }
 
-// accountMutants are deliberate faults in the keys and quotas of accounts.
+// accountMutants are faults in the handling of client accounts: their keys and quotas.
 var accountMutants = []mutant{
 	{
-		name: "key_passed_on", file: sendFile, pkg: routedTests, args: only("TestKeysStayInside"),
+		name: "key_passed_on", file: relayExchangeFile, pkg: routedTests, args: only("TestKeysStayInside"),
 		old: "if keyed || len(h.request.Credential.Opaque) == 0 {", fault: "if keyed && false || len(h.request.Credential.Opaque) == 0 {",
 	},
 	{
--- a/tests/mutants/cold.go
+++ b/tests/mutants/cold.go
@@ -4,14 +4,14 @@
 package main
 
 const (
-	paceFile         = "state/pace/pace.go"
-	windowFile       = "state/pace/window.go"
-	schedulePaceFile = "state/schedule/pace.go"
-	coldWordFile     = "state/directory/cold.go"
-	relayPacedFile   = "coordination/relay/paced.go"
-	countedFile      = "state/pace/counted.go"
-	homeColdFile     = "coordination/home/cold.go"
-	homeRouterFile   = "coordination/home/router.go"
+	paceFile          = "state/pace/pace.go"
+	windowFile        = "state/pace/window.go"
+	schedulePaceFile  = "state/schedule/pace.go"
+	directoryColdFile = "state/directory/cold.go"
+	relayPacedFile    = "coordination/relay/paced.go"
+	countedFile       = "state/pace/counted.go"
+	homeColdFile      = "coordination/home/cold.go"
+	homeRouterFile    = "coordination/home/router.go"
 
 	paceTests  = "./state/pace"
 	homeTests  = "./coordination/home"
@@ -20,7 +20,7 @@
 
 var paceOracle = []string{"-run", "TestOracle$", "-rapid.checks=3000", "-rapid.nofailfile"}
 
-// coldMutants are deliberate faults in what cold endpoints get.
+// coldMutants are faults in the limits on requests to cold endpoints.
 var coldMutants = []mutant{
 	{
 		name: "new_home_gives_all", file: paceFile, pkg: paceTests, args: paceOracle,
@@ -83,15 +83,15 @@
 		old: "return max(g.capacityWaitNS(w, t), g.paceWaitNS(w, t))", fault: "return g.capacityWaitNS(w, t)",
 	},
 	{
-		name: "each_word_extends_a_cold_spell", file: coldWordFile, pkg: "./state/directory", args: only("TestColdEnd"),
+		name: "each_word_extends_a_cold_spell", file: directoryColdFile, pkg: "./state/directory", args: only("TestColdEnd"),
 		old: "	case e.ColdFor == w.ColdFor && now.Before(w.ColdUntil):\n		return w.ColdUntil\n", fault: "",
 	},
 	{
-		name: "second_cold_spell_lost", file: coldWordFile, pkg: "./state/directory", args: only("TestColdEnd"),
+		name: "second_cold_spell_lost", file: directoryColdFile, pkg: "./state/directory", args: only("TestColdEnd"),
 		old: "	case e.ColdFor > w.ColdFor:\n", fault: "	case false:\n",
 	},
 	{
-		name: "new_endpoint_is_warm", file: coldWordFile, pkg: "./state/directory", args: only("TestColdEnd"),
+		name: "new_endpoint_is_warm", file: directoryColdFile, pkg: "./state/directory", args: only("TestColdEnd"),
 		old: "w.StartedAt.Add(start)", fault: "w.StartedAt",
 	},
 	{
--- a/tests/mutants/limit.go
+++ b/tests/mutants/limit.go
@@ -13,7 +13,7 @@
 
 var limitOracle = []string{"-run", "TestOracleLimit$", "-rapid.checks=3000", "-rapid.nofailfile"}
 
-// limitMutants are deliberate faults in what endpoints that name a limit get.
+// limitMutants are faults in the limits on requests to endpoints that announce a limit.
 var limitMutants = []mutant{
 	{
 		name: "box_beside_a_home_grants_all", file: bucketFile, pkg: paceTests, args: limitOracle,
--- a/tests/mutants/list.go
+++ b/tests/mutants/list.go
@@ -11,8 +11,8 @@
 
 var lifecycleArgs = []string{"-rapid.checks=20000", "-rapid.nofailfile"}
 
-// mutants is every deliberate fault, by the rule that it breaks.
-var mutants = []mutant{
+// protocolMutants are faults in the life cycle of requests and in the deduplication of repeated ones.
+var protocolMutants = []mutant{
 	{
 		name: "not_run_while_in_flight", file: lifecycleFile, pkg: "./state/lifecycle", args: lifecycleArgs,
 		old: "m.Ran == MayHaveRun || inFlight:", fault: "m.Ran == MayHaveRun && inFlight:",
--- a/tests/mutants/main.go
+++ b/tests/mutants/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Runridge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command mutants shows that the tests bite: it puts one deliberate fault at a
-// time into a copy of the code and expects the named test to fail.
+// Command mutants checks that the tests detect deliberate faults. It applies one fault at a time to
+// a copy of the source tree and expects the tests named for it to fail.
 package main
 
 import (
@@ -20,25 +20,27 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// mutant is one deliberate fault.
+// mutant is one deliberate fault and the tests that must detect it.
 type mutant struct {
 	name string
+	// file is the path of the changed file, relative to the module's root.
 	file string
-	// old stands exactly once in the file and is replaced by fault.
+	// old must occur exactly once in the file and is replaced by fault.
 	old, fault string
-	pkg        string
-	args       []string
+	// pkg is the package whose tests are run, and args are further arguments of go test.
+	pkg  string
+	args []string
 }
 
 const (
-	// coresEach is how many cores one try has: building takes two, and most tests
-	// wait for states more than they work.
-	coresEach = 2
-	// testTimeout bounds one run of the go tool, and testBound, shorter, the test
-	// program in it: one that a fault makes spin ends itself and is not left
-	// behind by the go tool's end.
-	testTimeout = 3 * time.Minute
-	testBound   = "2m"
+	// coresPerRun is the number of cores for each mutant that is tested at the same time: a
+	// build uses two, and most tests wait for states more than they compute.
+	coresPerRun = 2
+	// goToolTimeout limits one run of the go tool. testTimeout, which is shorter, limits the
+	// test binary that it runs: a test that loops because of the fault then ends by itself and
+	// does not outlive the go tool.
+	goToolTimeout = 3 * time.Minute
+	testTimeout   = "2m"
 )
 
 func main() {
@@ -52,23 +54,25 @@
 	}
 }
 
-// all are the deliberate faults.
-func all() []mutant {
-	return slices.Concat(mutants, routedMutants, accountMutants, stageMutants, sharedMutants, coldMutants, poisonMutants, limitMutants, noticeMutants, olderMutants)
+// allMutants returns the mutants of all lists.
+func allMutants() []mutant {
+	return slices.Concat(protocolMutants, routedMutants, accountMutants, stageMutants, sharedMutants, coldMutants, poisonMutants, limitMutants, noticeMutants, olderMutants)
 }
 
+// run tests the mutants of the tree at root, or only those whose file has the path prefix given as
+// the first argument. It prints a line for each and errors if the tests miss one, or if a mutant
+// can't be tested.
 func run(root string) error {
-	chosen := all()
+	chosen := allMutants()
 	if len(os.Args) > 1 {
-		// Those whose file lies under a path, for work on that part.
 		chosen = slices.DeleteFunc(chosen, func(m mutant) bool { return !strings.HasPrefix(m.file, os.Args[1]) })
 	}
-	var tries errgroup.Group
-	tries.SetLimit(max(runtime.NumCPU()/coresEach, 1))
+	var runs errgroup.Group
+	runs.SetLimit(max(runtime.NumCPU()/coresPerRun, 1))
 	var survivors atomic.Int64
 	for _, m := range chosen {
-		tries.Go(func() error {
-			found, err := try(root, m)
+		runs.Go(func() error {
+			found, err := detects(root, m)
 			if err != nil {
 				return fmt.Errorf("mutant %s: %w", m.name, err)
 			}
@@ -79,7 +83,7 @@
 			return nil
 		})
 	}
-	if err := tries.Wait(); err != nil {
+	if err := runs.Wait(); err != nil {
 		return err
 	}
 	if survivors := survivors.Load(); survivors > 0 {
@@ -89,8 +93,9 @@
 	return nil
 }
 
-// try runs the tests on a copy with the fault in it.
-func try(root string, m mutant) (bool, error) {
+// detects reports whether the tests of a mutant fail on a copy of the tree with its fault. It errors
+// if the replaced text does not occur exactly once, or if the changed package does not pass go vet.
+func detects(root string, m mutant) (bool, error) {
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
 		return false, err
@@ -105,22 +110,23 @@
 		return false, err
 	}
 	if n := strings.Count(string(data), m.old); n != 1 {
-		return false, fmt.Errorf("%s: the text to replace stands %d times, allowed: once", m.file, n)
+		return false, fmt.Errorf("%s: the text to replace occurs %d times, want once", m.file, n)
 	}
 	const mode = 0o644
-	changed := strings.Replace(string(data), m.old, m.fault, 1)
-	if err := os.WriteFile(path, []byte(changed), mode); err != nil {
+	mutated := strings.Replace(string(data), m.old, m.fault, 1)
+	if err := os.WriteFile(path, []byte(mutated), mode); err != nil {
 		return false, err
 	}
-	if out, err := gotool(dir, "vet", "./"+filepath.Dir(m.file)); err != nil {
-		return false, fmt.Errorf("does not build: %s", out)
+	if out, err := runGo(dir, "vet", "./"+filepath.Dir(m.file)); err != nil {
+		return false, fmt.Errorf("go vet failed: %s", out)
 	}
-	_, err = gotool(dir, append([]string{"test", "-trimpath", "-count=1", "-timeout", testBound, m.pkg}, m.args...)...)
+	_, err = runGo(dir, append([]string{"test", "-trimpath", "-count=1", "-timeout", testTimeout, m.pkg}, m.args...)...)
 	return err != nil, nil
 }
 
-func gotool(dir string, args ...string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+// runGo runs the go tool in a directory and returns its standard output and error output.
+func runGo(dir string, args ...string) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), goToolTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, "go", args...)
 	cmd.Dir = dir
--- a/tests/mutants/main_test.go
+++ b/tests/mutants/main_test.go
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-// TestFaultsFit holds that the text which each deliberate fault replaces stands exactly
-// once in its file, before any of them is tried for minutes.
+// TestFaultsFit checks that the text that each mutant replaces occurs exactly once in its file. It
+// finds outdated mutants at once, where testing all of them takes minutes.
 func TestFaultsFit(t *testing.T) {
 	const root = "../.."
-	for _, m := range all() {
+	for _, m := range allMutants() {
 		source, err := os.ReadFile(filepath.Join(root, m.file))
 		if err != nil {
 			t.Error(err)
 			continue
 		}
 		if n := strings.Count(string(source), m.old); n != 1 {
-			t.Errorf("%s: the text to replace stands %d times in %s", m.name, n, m.file)
+			t.Errorf("%s: the text to replace occurs %d times in %s, want once", m.name, n, m.file)
 		}
 	}
 }
--- a/tests/mutants/notice.go
+++ b/tests/mutants/notice.go
@@ -4,12 +4,12 @@
 package main
 
 const (
-	noticeFile    = "coordination/notice/notice.go"
-	noticeTests   = "./coordination/notice"
-	scheduleLeave = "state/schedule/leaving.go"
+	noticeFile          = "coordination/notice/notice.go"
+	noticeTests         = "./coordination/notice"
+	scheduleLeavingFile = "state/schedule/leaving.go"
 )
 
-// noticeMutants are deliberate faults in what endpoints get that leave, or want rest.
+// noticeMutants are faults in the handling of endpoints that announce that they leave or need a rest.
 var noticeMutants = []mutant{
 	{
 		name: "leaving_outlasts_its_start", file: noticeFile, pkg: noticeTests, args: only("TestEndpointsAreClosed"),
@@ -28,7 +28,7 @@
 		old: "	case s.Rest > 0:\n		return ReasonResting\n", fault: "",
 	},
 	{
-		name: "engines_that_leave_granted_to_others", file: scheduleLeave, pkg: scheduleTests, args: only("TestEnginesThatToldABoxThatTheyLeave"),
+		name: "engines_that_leave_granted_to_others", file: scheduleLeavingFile, pkg: scheduleTests, args: only("TestEnginesThatToldABoxThatTheyLeave"),
 		old: "e.spec.Leaving || t < e.leavingUntil", fault: "e.spec.Leaving",
 	},
 	{
--- a/tests/mutants/older.go
+++ b/tests/mutants/older.go
@@ -3,7 +3,7 @@
 
 package main
 
-// olderMutants are deliberate faults in what follows when the store comes back older.
+// olderMutants are faults in the recovery after the store was restored from an older copy.
 var olderMutants = []mutant{
 	{
 		name: "watch_of_another_era_goes_on", file: "platform/platform.go", pkg: "./platform", args: only("TestPositionsOfAnOlderStore"),
--- a/tests/mutants/poison.go
+++ b/tests/mutants/poison.go
@@ -13,7 +13,7 @@
 	quarantineTests = "./coordination/quarantine"
 )
 
-// poisonMutants are deliberate faults in what keeps requests that end endpoints from them.
+// poisonMutants are faults in the detection and blocking of requests that crash endpoints.
 var poisonMutants = []mutant{
 	{
 		name: "poison_explains_nothing", file: blockFile, pkg: poisonTests, args: only("TestBlocked"),
--- a/tests/mutants/routed.go
+++ b/tests/mutants/routed.go
@@ -4,31 +4,32 @@
 package main
 
 const (
-	runFile           = "coordination/relay/run.go"
-	refusalFile       = "coordination/relay/refuse.go"
-	sendFile          = "coordination/relay/exchange.go"
-	answerFile        = "coordination/relay/answer.go"
-	exchange          = "transport/upstream/exchange.go"
-	readFile          = "transport/relayhttp/read.go"
-	followFile        = "coordination/follow/follow.go"
-	readTableFile     = "coordination/follow/read.go"
-	passTableFile     = "coordination/follow/pass.go"
-	homeConfigureFile = "coordination/home/configure.go"
-	retryFile         = "state/retry/budget.go"
-	memoryFile        = "state/schedule/memory.go"
-	forecastFile      = "state/schedule/forecast.go"
-	directories       = "state/directory/directory.go"
-	routedTests       = "./tests/routed"
+	runFile              = "coordination/relay/run.go"
+	refusalFile          = "coordination/relay/refuse.go"
+	relayExchangeFile    = "coordination/relay/exchange.go"
+	answerFile           = "coordination/relay/answer.go"
+	upstreamExchangeFile = "transport/upstream/exchange.go"
+	readFile             = "transport/relayhttp/read.go"
+	followFile           = "coordination/follow/follow.go"
+	readTableFile        = "coordination/follow/read.go"
+	passTableFile        = "coordination/follow/pass.go"
+	homeConfigureFile    = "coordination/home/configure.go"
+	retryFile            = "state/retry/budget.go"
+	memoryFile           = "state/schedule/memory.go"
+	forecastFile         = "state/schedule/forecast.go"
+	directoryFile        = "state/directory/directory.go"
+	routedTests          = "./tests/routed"
 )
 
+// only returns the arguments that run a single test.
 func only(test string) []string { return []string{"-run=^" + test + "$"} }
 
-// manyCases runs a model-based test long enough to meet what is rare.
+// manyCases returns the arguments that run a model-based test with enough cases to reach rare ones.
 func manyCases(test string) []string {
 	return append(only(test), "-rapid.checks=20000", "-rapid.nofailfile")
 }
 
-// routedMutants are deliberate faults in what serves routed services.
+// routedMutants are faults in the serving of routed services.
 var routedMutants = []mutant{
 	{
 		name: "stop_without_bound", file: "box/run.go", pkg: routedTests, args: only("TestPlannedStop"),
@@ -47,15 +48,15 @@
 		old: "	case h.runs > 0:\n", fault: "	case h.runs > 5:\n",
 	},
 	{
-		name: "unsigned_passed_on", file: sendFile, pkg: routedTests, args: only("TestManners"),
+		name: "unsigned_passed_on", file: relayExchangeFile, pkg: routedTests, args: only("TestManners"),
 		old: "if !answer.Signed || answer.Encoded {", fault: "if answer.Encoded {",
 	},
 	{
-		name: "encoded_passed_on", file: sendFile, pkg: routedTests, args: only("TestManners"),
+		name: "encoded_passed_on", file: relayExchangeFile, pkg: routedTests, args: only("TestManners"),
 		old: "if !answer.Signed || answer.Encoded {", fault: "if !answer.Signed {",
 	},
 	{
-		name: "budget_not_asked", file: sendFile, pkg: routedTests, args: only("TestRetryBudget"),
+		name: "budget_not_asked", file: relayExchangeFile, pkg: routedTests, args: only("TestRetryBudget"),
 		old: "if h.arrivals == 0 || h.prepaid > 0 {", fault: "if h.arrivals >= 0 || h.prepaid > 0 {",
 	},
 	{
@@ -75,15 +76,15 @@
 		old: "	defer h.freeKept()\n", fault: "	defer h.reusableEngine()\n",
 	},
 	{
-		name: "control_call_with_an_id", file: exchange, pkg: routedTests, args: only("TestKeptResults"),
+		name: "control_call_with_an_id", file: upstreamExchangeFile, pkg: routedTests, args: only("TestKeptResults"),
 		old: "	if !call.Control {\n		field(x.names.RequestID, call.RequestID)", fault: "	if true {\n		field(x.names.RequestID, \"freed\")",
 	},
 	{
-		name: "other_answer_taken", file: exchange, pkg: "./transport/upstream", args: only("TestStrayAnswers"),
+		name: "other_answer_taken", file: upstreamExchangeFile, pkg: "./transport/upstream", args: only("TestStrayAnswers"),
 		old: "if id == x.call.RequestID || x.call.Control {", fault: "if id != \"\" || x.call.Control {",
 	},
 	{
-		name: "not_run_after_bytes_left", file: exchange, pkg: routedTests, args: only("TestManners"),
+		name: "not_run_after_bytes_left", file: upstreamExchangeFile, pkg: routedTests, args: only("TestManners"),
 		old: "if x.sent == 0 && x.writeErr != nil {", fault: "if true {",
 	},
 	{
@@ -111,11 +112,11 @@
 		old: "return c.Slack / float64(max(boxes, 1)) * ramp", fault: "return c.Slack / float64(max(boxes, 1)) * max(ramp, 1)",
 	},
 	{
-		name: "older_list_taken", file: directories, pkg: "./state/directory", args: manyCases("TestOracleDirectory"),
+		name: "older_list_taken", file: directoryFile, pkg: "./state/directory", args: manyCases("TestOracleDirectory"),
 		old: "if at < d.at {", fault: "if at > d.at+1000 {",
 	},
 	{
-		name: "left_endpoint_comes_back", file: directories, pkg: "./state/directory", args: manyCases("TestOracleDirectory"),
+		name: "left_endpoint_comes_back", file: directoryFile, pkg: "./state/directory", args: manyCases("TestOracleDirectory"),
 		old: "Since: now, Replaced: old.Replaced,", fault: "Since: now,",
 	},
 	{
--- a/tests/mutants/shared.go
+++ b/tests/mutants/shared.go
@@ -24,8 +24,8 @@
 	coverTests    = "./state/cover"
 )
 
-// sharedMutants are deliberate faults in what boxes believe together: who has
-// duties, what endpoints there are, who is no more, and who comes back when.
+// sharedMutants are faults in the state that boxes share: which boxes have duties, which endpoints
+// exist, which boxes have ended, and when refused callers return.
 var sharedMutants = []mutant{
 	{
 		name: "unheard_start_counts_as_oldest", file: establishedFile, pkg: memberTests, args: only("TestEstablished"),
@@ -113,7 +113,7 @@
 		old: "return n.Whole || n.After <= d.at", fault: "return true",
 	},
 	{
-		name: "lapsed_entries_are_gone", file: directories, pkg: "./state/directory", args: only("TestGrace"),
+		name: "lapsed_entries_are_gone", file: directoryFile, pkg: "./state/directory", args: only("TestGrace"),
 		old: "c.Gone && now.Before(d.graceUntil) && !old.Gone", fault: "false && !old.Gone",
 	},
 	{
--- a/tests/mutants/sources.go
+++ b/tests/mutants/sources.go
@@ -9,17 +9,17 @@
 	"slices"
 )
 
-// sources is the module's tree without what the build does not need.
+// sources is the module's source tree without the directories that builds and tests don't need.
 type sources struct {
 	root string
 }
 
-// Open opens a file of the tree.
+// Open opens a file of the tree, by its path relative to root.
 func (s sources) Open(name string) (fs.File, error) {
 	return os.DirFS(s.root).Open(name)
 }
 
-// ReadDir lists a directory of the tree.
+// ReadDir lists a directory of the tree, without the excluded entries.
 func (s sources) ReadDir(name string) ([]fs.DirEntry, error) {
 	entries, err := fs.ReadDir(os.DirFS(s.root), name)
 	return slices.DeleteFunc(entries, func(e fs.DirEntry) bool {
