--- a/fakes/fleet/fleet.go
+++ b/fakes/fleet/fleet.go
@@ -43,8 +43,8 @@
 	CacheTokens int
 	// ResultTTL is how long engines keep a prefill result; 0 selects their default.
 	ResultTTL time.Duration
-	// CrashPrompt, if not empty, crashes each engine that is to prefill a prompt that contains it.
-	CrashPrompt string
+	// EndsAt, if not empty, crashes each engine that is to prefill a prompt that contains it.
+	EndsAt string
 	// StepTimeoutMS is the boxes' timeout for an order to an engine, in milliseconds.
 	StepTimeoutMS int
 	Log           log.Logger
@@ -170,7 +170,7 @@
 		ResultTTL:       f.cfg.ResultTTL,
 		ReportLag:       f.cfg.ReportLag,
 		GapEvery:        f.cfg.GapEvery,
-		CrashPrompt:     f.cfg.CrashPrompt,
+		CrashPrompt:     f.cfg.EndsAt,
 		Links:           f.Links,
 		Ledger:          f.Ledger,
 	})
--- a/tests/integration/poison_test.go
+++ b/tests/integration/poison_test.go
@@ -28,7 +28,7 @@
 	)
 	convey.Convey("A prompt that crashes every engine that prefills it, and is sent again, soon reaches none", t, func() {
 		table, _ := example.Table(example.Bogota)
-		f, err := fleet.Start(t.Context(), fleet.Config{Table: table, Boxes: 3, Log: log.Discard(), CrashPrompt: poison})
+		f, err := fleet.Start(t.Context(), fleet.Config{Table: table, Boxes: 3, Log: log.Discard(), EndsAt: poison})
 		convey.So(err, convey.ShouldBeNil)
 		defer f.Stop()
 		caller := bench.NewCaller()
--- a/tests/routed/poison_test.go
+++ b/tests/routed/poison_test.go
@@ -108,7 +108,7 @@
 		e.Close()
 		next := start(e.EndpointConfig)
 		s.add(next)
-		s.waitAddressKnown(next.ID, cmp.Or(next.PublishedAddress, s.endpoints[next.ID].Address()))
+		s.waitAddressKnown(next.ID, cmp.Or(next.Told, s.endpoints[next.ID].Address()))
 	}
 	return len(ended)
 }
@@ -221,7 +221,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.proxies[e.ID], e.PublishedAddress = link, link.Addr()
+	f.proxies[e.ID], e.Told = link, link.Addr()
 	return e
 }
 
