--- a/protocol/boxwire/boxwire.go
+++ b/protocol/boxwire/boxwire.go
@@ -67,8 +67,9 @@
 	// MaxFrame is the largest body of a frame, in bytes. Only a whole table and
 	// a whole directory of endpoints come near it.
 	MaxFrame = 4 << 20
-	// maxSmallFrame is the largest body of every other message, in bytes. It is
-	// low because a list item of one byte on the wire takes far more in memory.
+	// maxSmallFrame is the largest body of all kinds but KindChange and KindUpdate,
+	// in bytes. It is low because a list item of one byte on the wire takes far
+	// more in memory.
 	maxSmallFrame = 64 << 10
 )
 
@@ -105,7 +106,7 @@
 	Incarnation uint64
 	// Proof is the HMAC over the greeting; set only if the boxes share a key.
 	Proof []byte
-	// Version tells which messages the box can read.
+	// Version identifies the messages that the box can read.
 	Version Version
 }
 
